--- a/bench/front/front_bench.cc
+++ b/bench/front/front_bench.cc
@@ -16,8 +16,8 @@
 
 #include "core/roster/peer_sync.h"
 #include "core/steering/flow_memory.h"
-#include "core/steering/held_openings.h"
 #include "core/steering/pending_requests.h"
+#include "core/steering/syn_queue.h"
 #include "core/view/live_view.h"
 #include "front/peer_codec.h"
 #include "platform/store_codec.h"
@@ -181,7 +181,7 @@
     const std::size_t before = heap_in_use;
     core::FlowMemory memory(60s);
     for (std::uint32_t i = 0; i < kFlows; ++i) {
-      memory.OnCarried(PacketOf(i), {i % kTargets}, 0ms);
+      memory.OnForwarded(PacketOf(i), {i % kTargets}, 0ms);
     }
     state.counters["bytes_each"] =
         static_cast<double>(heap_in_use - before) / kFlows;
@@ -193,7 +193,7 @@
   const std::vector<std::uint8_t> bytes(32);
   while (state.KeepRunning()) {
     const std::size_t before = heap_in_use;
-    core::HeldOpenings held;
+    core::SynQueue held;
     for (std::uint32_t i = 0; i < kWaiting; ++i) {
       held.Hold(PacketOf(i), bytes, 0ms);
     }
--- a/rig/load/balancer_variant.cc
+++ b/rig/load/balancer_variant.cc
@@ -5,7 +5,7 @@
 #include <variant>
 
 #include "common/hash.h"
-#include "core/steering/admission.h"
+#include "core/steering/admission_control.h"
 #include "core/steering/flow_steering.h"
 
 namespace sassafrasdyke::rig {
@@ -40,8 +40,8 @@
       return out;
     }
     const auto bytes = BytesOf(packet);
-    if (const auto room = this->admission.Admit(packet, bytes, now, now)) {
-      this->Steer(packet, *room, now, out);
+    if (const auto grant = this->admission.Admit(packet, bytes, now, now)) {
+      this->Steer(packet, *grant, now, out);
     }
     this->Release(now, out);
     return out;
@@ -63,10 +63,10 @@
     return {static_cast<std::uint8_t>(packet.repeats)};
   }
 
-  void Steer(const core::FlowPacket& packet, const core::OpeningRoom& room,
+  void Steer(const core::FlowPacket& packet, const core::AdmissionGrant& grant,
              milliseconds now, std::vector<Forwarded>& out) {
     const core::SteeringAction action =
-        this->steering.OnPacket(packet, now, room);
+        this->steering.OnPacket(packet, now, grant);
     if (const auto* sent = std::get_if<core::SendToTarget>(&action)) {
       out.push_back({packet, this->view.Targets().At(sent->target).word.value});
     } else if (std::holds_alternative<core::Refuse>(action)) {
@@ -77,17 +77,17 @@
   void Release(milliseconds now, std::vector<Forwarded>& out) {
     while (const auto released = this->admission.TakeNext(now)) {
       core::FlowPacket syn;
-      syn.flow = released->opening.flow;
+      syn.flow = released->syn.flow;
       syn.flags.syn = true;
-      syn.repeats = released->opening.bytes.front();
-      this->Steer(syn, released->room, now, out);
+      syn.repeats = released->syn.bytes.front();
+      this->Steer(syn, released->grant, now, out);
     }
   }
 
   const bool holds_back;
   core::LiveView view;
   core::FlowSteering steering;
-  core::Admission admission;
+  core::AdmissionControl admission;
 };
 
 /// A hash over the own domain's serving targets, all targets when it has none.
--- a/source/core/steering/answer_times.cc
+++ b/source/core/steering/answer_times.cc
@@ -7,55 +7,57 @@
 
 using std::chrono::milliseconds;
 
-/// Least weight of the newest answer: some ten answers count.
-constexpr double kNewest = 0.1;
-/// Work varies, so fewer answers than this tell little of the average.
-constexpr unsigned kLeastAnswers = 4;
-/// An average without answers for this long says nothing of now.
-constexpr milliseconds kBelievedFor{60'000};
-/// Services whose answers are followed; beyond, all are learnt anew, so that
-/// services withdrawn long ago take no memory.
-constexpr std::size_t kMostServices = 4096;
-
-void Move(double& average, milliseconds newest, double weight) {
+/// Minimum weight of the newest answer: the averages span some ten answers.
+constexpr double kMinNewestWeight = 0.1;
+/// Minimum number of answers: work varies, so the average of fewer is
+/// unreliable.
+constexpr unsigned kMinAnswers = 4;
+/// An average without new answers for this long is outdated.
+constexpr milliseconds kMaxAverageAge{60'000};
+/// Maximum number of services with averages. When it is reached, all are
+/// cleared, so that services withdrawn long ago take no memory.
+constexpr std::size_t kMaxServices = 4096;
+
+void UpdateAverage(double& average, milliseconds newest, double weight) {
   average += weight * (static_cast<double>(newest.count()) - average);
 }
 
 }  // namespace
 
-void AnswerTimes::OnAnswer(const std::string& service, bool near,
+void AnswerTimes::OnAnswer(const std::string& service, bool local,
                            const AnswerTiming& timing, milliseconds now) {
   if (timing.round_trip == milliseconds{0}) {
-    return;  // The flow was open before.
+    return;  // The flow was already open.
   }
-  if (this->services.size() >= kMostServices) {
+  if (this->services.size() >= kMaxServices) {
     this->services.clear();
   }
   Averages& averages = this->services[service];
-  Average& average = near ? averages.near : averages.far;
-  if (now - average.at >= kBelievedFor) {
+  Average& average = local ? averages.local : averages.remote;
+  if (now - average.last_answer >= kMaxAverageAge) {
     average = Average();
   }
   ++average.answers;
-  const double weight = std::max(kNewest, 1.0 / average.answers);
-  Move(average.way_ms, timing.Way(), weight);
-  Move(average.at_target_ms, timing.AtTarget(), weight);
-  average.at = now;
+  const double weight = std::max(kMinNewestWeight, 1.0 / average.answers);
+  UpdateAverage(average.network_ms, timing.NetworkTime(), weight);
+  UpdateAverage(average.target_ms, timing.TimeAtTarget(), weight);
+  average.last_answer = now;
 }
 
-bool AnswerTimes::WayOutweighsWork(const std::string& service,
-                                   milliseconds now) const {
+bool AnswerTimes::RemoteDetourCostsMore(const std::string& service,
+                                        milliseconds now) const {
   const auto found = this->services.find(service);
   if (found == this->services.end()) {
     return false;
   }
-  const auto& [near, far] = found->second;
-  return IsKnown(near, now) && IsKnown(far, now) &&
-         far.way_ms - near.way_ms > near.at_target_ms;
+  const auto& [local, remote] = found->second;
+  return IsKnown(local, now) && IsKnown(remote, now) &&
+         remote.network_ms - local.network_ms > local.target_ms;
 }
 
 bool AnswerTimes::IsKnown(const Average& average, milliseconds now) {
-  return average.answers >= kLeastAnswers && now - average.at < kBelievedFor;
+  return average.answers >= kMinAnswers &&
+         now - average.last_answer < kMaxAverageAge;
 }
 
 }  // namespace sassafrasdyke::core
--- a/source/core/steering/answer_times.h
+++ b/source/core/steering/answer_times.h
@@ -1,5 +1,5 @@
-/// What an answer's time is made of, for targets of the own failure domain and
-/// for those of others.
+/// Splits answer times into network time and time at the target, for targets of
+/// the own failure domain and for those of others.
 #pragma once
 
 #include <chrono>
@@ -10,29 +10,29 @@
 
 namespace sassafrasdyke::core {
 
-/// Averages for each service, over the answers to requests that opened a flow:
-/// only their way to the target is known. Times are monotonic.
+/// Averages for each service, over the answers to the first requests of flows:
+/// only their network time is known. Times are monotonic.
 class AnswerTimes {
  public:
-  /// A target of the service answered; `near` if it is of the own domain.
-  void OnAnswer(const std::string& service, bool near,
+  /// A target of the service answered; `local` if it is of the own domain.
+  void OnAnswer(const std::string& service, bool local,
                 const AnswerTiming& timing, std::chrono::milliseconds now);
-  /// Whether the longer way to other domains takes more time than the targets
-  /// of the own do for a request, waiting in their queues included. False while
-  /// too little is known of either.
-  bool WayOutweighsWork(const std::string& service,
-                        std::chrono::milliseconds now) const;
+  /// Whether the additional network time to other domains exceeds what the
+  /// targets of the own domain take for a request, queueing included. False
+  /// while there are too few recent answers of either.
+  bool RemoteDetourCostsMore(const std::string& service,
+                             std::chrono::milliseconds now) const;
 
  private:
   struct Average {
-    double way_ms{0};
-    double at_target_ms{0};
+    double network_ms{0};
+    double target_ms{0};
     unsigned answers{0};
-    std::chrono::milliseconds at{0};  ///< The newest answer's.
+    std::chrono::milliseconds last_answer{0};  ///< Time of the newest answer.
   };
   struct Averages {
-    Average near;
-    Average far;
+    Average local;
+    Average remote;
   };
 
   static bool IsKnown(const Average& average, std::chrono::milliseconds now);
--- a/source/core/steering/flow_memory.cc
+++ b/source/core/steering/flow_memory.cc
@@ -5,41 +5,45 @@
 namespace sassafrasdyke::core {
 namespace {
 
-/// Twice the flows of one of 810 instances at 27 million; some 8 MB.
-constexpr std::size_t kMostFlows = 65'536;
-/// Pause between looks at all flows; at the bound one takes some 5 ms.
-constexpr std::chrono::milliseconds kExpireEvery{5000};
+/// Maximum number of flows: twice the share of one of 810 instances at 27
+/// million; some 8 MB.
+constexpr std::size_t kMaxFlows = 65'536;
+/// Interval between scans of all flows; at the maximum number one takes some 5
+/// ms.
+constexpr std::chrono::milliseconds kExpiryInterval{5000};
 
-/// Whether one sequence number lies after another: they wrap around, and a
-/// packet that comes late has a lower one.
+/// Whether `number` is after `other` in sequence space, which wraps around. A
+/// packet that arrives out of order has a lower number.
 bool IsAfter(std::uint32_t number, std::uint32_t other) {
   return static_cast<std::int32_t>(number - other) > 0;
 }
 
 }  // namespace
 
-CarriedNews FlowMemory::OnCarried(const FlowPacket& packet, TargetIndex target,
-                                  std::chrono::milliseconds now) {
+FlowProgress FlowMemory::OnForwarded(const FlowPacket& packet,
+                                     TargetIndex target,
+                                     std::chrono::milliseconds now) {
   if (packet.flags.fin || packet.flags.rst) {
     this->flows.erase(packet.flow);
     return {};
   }
-  const std::uint32_t sent_to = packet.sequence + packet.payload_bytes;
+  const std::uint32_t next_sequence = packet.sequence + packet.payload_bytes;
   const auto found = this->flows.find(packet.flow);
   if (found == this->flows.end()) {
-    if (this->flows.size() < kMostFlows) {
-      this->flows.emplace(packet.flow,
-                          Memory{target, packet.acknowledgement, sent_to, now});
+    if (this->flows.size() < kMaxFlows) {
+      this->flows.emplace(packet.flow, Entry{target, packet.acknowledgement,
+                                             next_sequence, now});
     }
     return {false, packet.payload_bytes > 0};
   }
-  Memory& memory = found->second;
-  const bool same = memory.target == target;
-  const CarriedNews news{
-      same && IsAfter(packet.acknowledgement, memory.acknowledgement),
-      packet.payload_bytes > 0 && (!same || IsAfter(sent_to, memory.sent_to))};
-  memory = {target, packet.acknowledgement, sent_to, now};
-  return news;
+  Entry& entry = found->second;
+  const bool same = entry.target == target;
+  const FlowProgress progress{
+      same && IsAfter(packet.acknowledgement, entry.acknowledgement),
+      packet.payload_bytes > 0 &&
+          (!same || IsAfter(next_sequence, entry.next_sequence))};
+  entry = {target, packet.acknowledgement, next_sequence, now};
+  return progress;
 }
 
 bool FlowMemory::HasFlowsOf(TargetIndex target) const {
@@ -65,7 +69,7 @@
 }
 
 void FlowMemory::Expire(std::chrono::milliseconds now) {
-  if (now - this->expired_at < kExpireEvery) {
+  if (now - this->expired_at < kExpiryInterval) {
     return;
   }
   this->expired_at = now;
--- a/source/core/steering/flow_memory.h
+++ b/source/core/steering/flow_memory.h
@@ -1,10 +1,11 @@
-/// Which flows were lately carried to which target, so that their clients can
-/// be told when the target ends.
+/// Remembers which flows were recently forwarded to which target, so that their
+/// clients can be sent resets when the target ends.
 ///
-/// A client that isn't told finds out with its next request. One that may not
-/// run twice can't be repeated then, though it never ran: the booking is lost.
-/// Told in time, the client opens another flow first. The memory decides
-/// nothing else: what it lacks is found out by the client's next packet.
+/// Without a reset, a client notices the end only with its next request. If
+/// that request isn't idempotent it can't be retried then, though it never ran:
+/// the booking is lost. After a reset in time the client opens another flow
+/// first. Nothing else depends on this: the client of a flow that isn't
+/// remembered gets a reset for its next packet.
 #pragma once
 
 #include <chrono>
@@ -26,11 +27,11 @@
   }
 };
 
-/// What a packet of an established flow shows.
-struct CarriedNews {
-  /// It acknowledges more than the one before, so the target has answered.
+/// What a packet of an established flow adds to the one before.
+struct FlowProgress {
+  /// It acknowledges new data, so the target has answered.
   bool answered{false};
-  /// It carries bytes that no packet before it did: a request, no repetition.
+  /// It carries new data: a request, no retransmission.
   bool requests{false};
 };
 
@@ -41,27 +42,29 @@
   explicit FlowMemory(std::chrono::milliseconds flow_life)
       : flow_life(flow_life) {}
 
-  /// A packet of the client's is carried to `target`.
-  CarriedNews OnCarried(const FlowPacket& packet, TargetIndex target,
-                        std::chrono::milliseconds now);
+  /// Records a packet of a client that is forwarded to `target`.
+  FlowProgress OnForwarded(const FlowPacket& packet, TargetIndex target,
+                           std::chrono::milliseconds now);
   bool HasFlowsOf(TargetIndex target) const;
-  /// Takes the flows at `target`, each as the last packet that its client sent
-  /// as far as a reset needs it.
+  /// Removes and returns the flows at `target`, each as a packet with those
+  /// fields of the client's last one that a reset needs.
   std::vector<FlowPacket> Take(TargetIndex target);
-  /// Forgets flows that must have ended. Looks at all of them now and then.
+  /// Removes flows that must have ended, in a scan of all of them every few
+  /// seconds.
   void Expire(std::chrono::milliseconds now);
   std::size_t Size() const { return this->flows.size(); }
 
  private:
-  struct Memory {
+  struct Entry {
     TargetIndex target;
     std::uint32_t acknowledgement{0};
-    std::uint32_t sent_to{0};  ///< The sequence number after the last byte.
+    /// The sequence number after the last byte.
+    std::uint32_t next_sequence{0};
     std::chrono::milliseconds seen_at{0};
   };
 
   std::chrono::milliseconds flow_life;
-  std::unordered_map<common::FlowKey, Memory, FlowHash> flows;
+  std::unordered_map<common::FlowKey, Entry, FlowHash> flows;
   std::chrono::milliseconds expired_at{0};
 };
 
--- a/source/core/steering/flow_packet.cc
+++ b/source/core/steering/flow_packet.cc
@@ -36,21 +36,21 @@
   return "unknown";
 }
 
-std::string_view Word(SilenceReason reason) {
+std::string_view Word(SilentDropReason reason) {
   switch (reason) {
-    case SilenceReason::kMalformed:
+    case SilentDropReason::kMalformed:
       return "malformed";
-    case SilenceReason::kNotAClients:
+    case SilentDropReason::kNotFromClient:
       return "not-a-clients";
-    case SilenceReason::kNoView:
+    case SilentDropReason::kNoView:
       return "no-view";
-    case SilenceReason::kStaleView:
+    case SilentDropReason::kStaleView:
       return "stale-view";
-    case SilenceReason::kUnknownTarget:
+    case SilentDropReason::kUnknownTarget:
       return "unknown-target";
-    case SilenceReason::kOutdated:
+    case SilentDropReason::kOutdated:
       return "outdated";
-    case SilenceReason::kOtherService:
+    case SilentDropReason::kOtherService:
       return "other-service";
   }
   return "unknown";
--- a/source/core/steering/flow_packet.h
+++ b/source/core/steering/flow_packet.h
@@ -1,4 +1,4 @@
-/// A client's packet as the steering sees it, and what may be done with it.
+/// A client's packet as FlowSteering sees it, and the possible decisions.
 #pragma once
 
 #include <cstdint>
@@ -13,11 +13,12 @@
 
 namespace sassafrasdyke::core {
 
-/// One packet of a flow that carries the word of its target.
+/// One packet of a flow. Packets of established flows carry the word that
+/// identifies their target.
 struct FlowPacket {
   common::FlowKey flow;
   TcpFlags flags;
-  /// The word that the flow carries; 0 before a target has answered.
+  /// Identifies the flow's target; 0 before a target has answered.
   TargetWord word;
   std::uint32_t payload_bytes{0};
   /// Of a SYN: how many times the client has sent it before.
@@ -26,15 +27,15 @@
   std::uint32_t sequence{0};  ///< Of the first byte of payload.
 };
 
-/// Why a new flow went where it went.
+/// Why a packet is sent to its target.
 enum class SteeringReason : std::uint8_t {
-  kCarried,    ///< Established: its word names the target.
+  kCarried,    ///< Established: its word identifies the target.
   kLocal,      ///< New: a target of the own failure domain.
   kSpilled,    ///< New: no usable target in the own failure domain.
-  kRelieved,   ///< New: the own failure domain has enough to do for now.
-  kSuspected,  ///< New: every usable target swallows SYNs; the likeliest one.
-  kRepeated,   ///< A repeated SYN, to the same target again.
-  kRetried,    ///< A repeated SYN that the first target left unanswered.
+  kRelieved,   ///< New: the own failure domain is at its limit.
+  kSuspected,  ///< New: all targets are suspected; the likeliest to be back.
+  kRepeated,   ///< A retransmitted SYN, to the same target again.
+  kRetried,    ///< A retransmitted SYN, to another target than the first.
 };
 
 /// Why a client is sent a reset.
@@ -42,21 +43,21 @@
   kNoRoute,       ///< Nothing is published at this address.
   kNoTarget,      ///< No target of the route's services takes new flows.
   kTargetGone,    ///< The flow's target has ended.
-  kTargetSilent,  ///< The flow's target answers nothing and nobody.
+  kTargetSilent,  ///< Probes have confirmed that the target doesn't answer.
 };
 
-/// Why a packet is dropped without a word.
-enum class SilenceReason : std::uint8_t {
-  kMalformed,      ///< No packet of a client.
-  kNotAClients,    ///< Carries flags that only targets send.
-  kNoView,         ///< Nothing is known yet.
-  kStaleView,      ///< The view may lack the route; the client will repeat.
-  kUnknownTarget,  ///< The view may lack the target; the client will repeat.
-  kOutdated,       ///< A SYN from before the process stood still.
-  kOtherService,   ///< The word names a target that the route never used.
+/// Why a packet is dropped without a reset.
+enum class SilentDropReason : std::uint8_t {
+  kMalformed,      ///< Not a valid packet of a client.
+  kNotFromClient,  ///< Carries flags that only targets send.
+  kNoView,         ///< The instance has no view yet.
+  kStaleView,      ///< The view may lack the route; the client retransmits.
+  kUnknownTarget,  ///< The view may lack the target; the client retransmits.
+  kOutdated,       ///< A SYN from before the process was paused.
+  kOtherService,   ///< The word is of a target that the route never used.
 };
 
-/// Send the packet to `target`, carrying `word`.
+/// Send the packet to `target`.
 struct SendToTarget {
   TargetIndex target;
   SteeringReason reason{SteeringReason::kCarried};
@@ -65,23 +66,23 @@
 /// Send the client a reset.
 struct Refuse {
   RefusalReason reason{RefusalReason::kNoRoute};
-  /// The target at which the flow was, if it was at a known one.
+  /// The flow's target, if it is known.
   std::optional<TargetIndex> target = std::nullopt;
 };
 
 /// Drop the packet.
-struct StaySilent {
-  SilenceReason reason{SilenceReason::kMalformed};
+struct SilentDrop {
+  SilentDropReason reason{SilentDropReason::kMalformed};
 };
 
-/// Keep the SYN until a target has room.
+/// Queue the SYN until a target has capacity.
 struct HoldBack {};
 
-using SteeringAction = std::variant<SendToTarget, Refuse, StaySilent, HoldBack>;
+using SteeringAction = std::variant<SendToTarget, Refuse, SilentDrop, HoldBack>;
 
-/// The log's word for a reason.
+/// Name of the reason in logs and metrics.
 std::string_view Word(SteeringReason reason);
 std::string_view Word(RefusalReason reason);
-std::string_view Word(SilenceReason reason);
+std::string_view Word(SilentDropReason reason);
 
 }  // namespace sassafrasdyke::core
--- a/source/core/steering/flow_steering.h
+++ b/source/core/steering/flow_steering.h
@@ -1,6 +1,7 @@
-/// Decides for every packet of flows that carry the word of their target. It
-/// keeps nothing of established flows, so any instance can forward any packet,
-/// and an instance that dies or restarts costs no flow.
+/// Decides what happens to each client packet. Packets of an established flow
+/// carry the word that identifies their target, so any instance can forward
+/// them without per-flow state, and no flow is lost when an instance dies or
+/// restarts.
 #pragma once
 
 #include <chrono>
@@ -10,10 +11,10 @@
 #include <vector>
 
 #include "core/steering/answer_times.h"
+#include "core/steering/concurrency_limiter.h"
 #include "core/steering/flow_memory.h"
 #include "core/steering/flow_packet.h"
-#include "core/steering/opening_gate.h"
-#include "core/steering/opening_table.h"
+#include "core/steering/half_open_table.h"
 #include "core/steering/pending_requests.h"
 #include "core/steering/target_choice.h"
 #include "core/steering/target_watch.h"
@@ -23,14 +24,15 @@
 
 namespace sassafrasdyke::core {
 
-/// What the steering knows of the world; outlives it.
+/// The parts of the live view that decisions read. They must outlive the
+/// FlowSteering.
 struct SteeringView {
   const RouteTable& routes;
   const TargetTable& targets;
   const StoreContact& contact;
 };
 
-/// The decisions. Times are monotonic, since process start.
+/// Steers client packets to targets. Times are monotonic, since process start.
 class FlowSteering {
  public:
   FlowSteering(const std::string& domain, SteeringView view)
@@ -38,29 +40,31 @@
         domain(domain),
         choice(domain, view.targets, this->watch, this->pending,
                this->answer_times),
-        gate(domain, view.targets, this->watch, this->pending),
+        limiter(domain, view.targets, this->watch, this->pending),
         memory(view.routes.FlowLife()) {}
 
-  /// `room`: where a flow that the packet opens may be placed.
+  /// Decides what to do with `packet`. `grant` says where a flow that the
+  /// packet opens may be placed.
   SteeringAction OnPacket(const FlowPacket& packet,
                           std::chrono::milliseconds now,
-                          const OpeningRoom& room = {});
-  /// The process stood still until now.
+                          const AdmissionGrant& grant = {});
+  /// The process was paused until `now`: resets what depends on packets that it
+  /// could not read meanwhile.
   void OnPause(std::chrono::milliseconds now) {
-    this->openings.OnPause(now);
+    this->half_open_flows.OnPause(now);
     this->watch.OnPause(now);
     this->pending.OnPause();
   }
-  /// A target can't come back.
+  /// Drops the state of a target that will never be published again.
   void Forget(TargetIndex target) {
     this->watch.Forget(target);
     this->choice.Forget(target);
   }
-  /// Bounded periodic work.
+  /// Expires old state. The work per call is bounded.
   void OnTick(std::chrono::milliseconds now);
 
-  /// The target's end is certain: takes the flows whose clients are to be
-  /// told.
+  /// Removes and returns the remembered flows of a target that has certainly
+  /// ended, so that their clients can be sent resets.
   std::vector<FlowPacket> TakeFlowsOf(TargetIndex target) {
     return this->memory.Take(target);
   }
@@ -70,30 +74,31 @@
   std::size_t RememberedFlows() const { return this->memory.Size(); }
   TargetWatch& Watch() { return this->watch; }
   const TargetWatch& Watch() const { return this->watch; }
-  std::size_t Openings() const { return this->openings.Size(); }
-  /// Whether the flow's SYN was sent to a target a moment ago.
-  bool IsOpening(const common::FlowKey& flow) const {
-    return this->openings.Find(flow) != nullptr;
+  std::size_t HalfOpenFlows() const { return this->half_open_flows.Size(); }
+  /// Whether the flow's SYN was recently sent to a target and the handshake has
+  /// not been seen to complete.
+  bool IsHalfOpen(const common::FlowKey& flow) const {
+    return this->half_open_flows.Find(flow) != nullptr;
   }
   const PendingRequests& Pending() const { return this->pending; }
-  const OpeningGate& Gate() const { return this->gate; }
+  const ConcurrencyLimiter& Limiter() const { return this->limiter; }
 
  private:
-  SteeringAction OnSyn(const FlowPacket& packet, const OpeningRoom& room,
+  SteeringAction OnSyn(const FlowPacket& packet, const AdmissionGrant& grant,
                        std::chrono::milliseconds now);
-  SteeringAction OnRepeatedSyn(const FlowPacket& packet, Opening& opening,
-                               const Route& route,
+  SteeringAction OnRepeatedSyn(const FlowPacket& packet,
+                               HalfOpenFlow& half_open, const Route& route,
                                std::chrono::milliseconds now);
-  SteeringAction OnCarried(const FlowPacket& packet, const Route& route,
-                           std::chrono::milliseconds now);
-  void NotePending(const FlowPacket& packet, const Route& route,
-                   TargetIndex target, const CarriedNews& news,
-                   std::chrono::milliseconds now);
+  SteeringAction OnEstablished(const FlowPacket& packet, const Route& route,
+                               std::chrono::milliseconds now);
+  void TrackRequests(const FlowPacket& packet, const Route& route,
+                     TargetIndex target, const FlowProgress& progress,
+                     std::chrono::milliseconds now);
   SteeringAction OnGoneTarget(const FlowPacket& packet, TargetIndex index,
                               const TargetEntry& target,
                               std::chrono::milliseconds now);
-  SteeringAction OnUnknownWord(const FlowPacket& packet,
-                               std::chrono::milliseconds now);
+  SteeringAction OnUnknownTarget(const FlowPacket& packet,
+                                 std::chrono::milliseconds now);
   SteeringAction OnNoTarget(std::chrono::milliseconds now) const;
   SteeringAction OnUnknownRoute(std::chrono::milliseconds now) const;
   bool ViewIsFresh(std::chrono::milliseconds now) const;
@@ -104,11 +109,11 @@
   PendingRequests pending;
   AnswerTimes answer_times;
   TargetChoice choice;
-  OpeningGate gate;
-  OpeningTable openings;
+  ConcurrencyLimiter limiter;
+  HalfOpenTable half_open_flows;
   FlowMemory memory;
-  /// Words that name no known target, and since when they have been met.
-  std::unordered_map<TargetWord, std::chrono::milliseconds> unknown;
+  /// Words that match no known target, with the time each was first seen.
+  std::unordered_map<TargetWord, std::chrono::milliseconds> unknown_words;
 };
 
 }  // namespace sassafrasdyke::core
--- a/source/core/steering/packet_format.h
+++ b/source/core/steering/packet_format.h
@@ -1,5 +1,5 @@
-/// How packets of flows look on the wire. The adapter of a platform implements
-/// this; it translates and decides nothing.
+/// Interface to the wire format of flow packets. The adapter of a platform
+/// implements it; adapters only translate.
 #pragma once
 
 #include <cstddef>
@@ -18,12 +18,12 @@
  public:
   virtual ~PacketFormat() = default;
 
-  /// Nothing when the bytes are no packet of a flow.
+  /// Parses a packet; returns nothing when the bytes are no packet of a flow.
   virtual std::optional<FlowPacket> Read(
       std::span<const std::uint8_t> bytes) const = 0;
-  /// Writes the datagram that carries `packet` to a target: the packet itself
-  /// unchanged but for the word. Returns its size; `into` must have room for
-  /// `packet` and `kTargetOverhead` bytes more.
+  /// Writes the datagram that carries `packet` to a target: the packet
+  /// unchanged except for its word. Returns the size in bytes; `into` must have
+  /// room for `packet` and `kTargetOverhead` bytes more.
   virtual std::size_t WriteForTarget(std::span<const std::uint8_t> packet,
                                      TargetNumber target, TargetWord word,
                                      std::span<std::uint8_t> into) const = 0;
@@ -34,7 +34,8 @@
 
 /// Bytes that a datagram to a target may add to its packet.
 inline constexpr std::size_t kTargetOverhead = 16;
-/// Largest packet that is taken, in bytes; larger ones are cut and dropped.
+/// Maximum packet size, in bytes; larger packets are truncated on receipt and
+/// dropped.
 inline constexpr std::size_t kLargestPacket = 1472;
 
 }  // namespace sassafrasdyke::core
--- a/source/core/steering/pending_requests.cc
+++ b/source/core/steering/pending_requests.cc
@@ -7,28 +7,29 @@
 
 using std::chrono::milliseconds;
 
-/// A request counts for this many times what answers take, so that one whose
+/// A request counts for this multiple of the answer time, so that one whose
 /// short answer is never acknowledged stops counting soon after it is served.
-constexpr double kAnswersCounted = 4.0;
+constexpr double kCountedAnswerTimes = 4.0;
 /// Bounds of that time. The lower one covers two round trips between failure
-/// domains; past the upper one an answer tells nothing of now.
-constexpr milliseconds kLeastCounted{30};
-constexpr milliseconds kForgottenAfter{2000};
+/// domains; past the upper one an answer shows nothing about the present.
+constexpr milliseconds kMinCountingTime{30};
+constexpr milliseconds kMaxRequestAge{2000};
 /// How long a request counts before any answer has shown how long they take.
 /// Past it a target may be dead, and requests that wait there must not keep new
-/// flows from targets that have room.
-constexpr milliseconds kCountedUnknown{150};
-/// Requests followed at most, some 1 MB: 4,000 a second for two seconds, many
-/// times the share of one of 810 instances.
-constexpr std::size_t kMost = 8192;
-/// Routes whose answers are followed; beyond, all are learnt anew, so that
-/// routes withdrawn long ago take no memory.
-constexpr std::size_t kMostRoutes = 4096;
-/// Weight of the newest answer in the averages: some ten answers count.
-constexpr double kNewest = 0.1;
-/// Below this share of answers seen the counts are mostly requests that were
-/// served long ago.
-constexpr double kLeastSeen = 0.4;
+/// flows from targets that have capacity.
+constexpr milliseconds kInitialCountingTime{150};
+/// Maximum number of tracked requests, about 1 MB: 4,000 a second for two
+/// seconds, many times the share of one of 810 instances.
+constexpr std::size_t kMaxRequests = 8192;
+/// Maximum number of routes with statistics. When it is reached, all are
+/// cleared, so that routes withdrawn long ago take no memory.
+constexpr std::size_t kMaxRoutes = 4096;
+/// Weight of the newest answer in the moving averages, which span some ten
+/// answers.
+constexpr double kNewestWeight = 0.1;
+/// With a smaller share of seen answers, most counted requests were served long
+/// ago.
+constexpr double kMinSeenShare = 0.4;
 
 void DecreaseOrErase(std::unordered_map<TargetIndex, std::size_t>& counts,
                      TargetIndex target) {
@@ -39,7 +40,7 @@
 }
 
 double Average(double old, double newest) {
-  return old + kNewest * (newest - old);
+  return old + kNewestWeight * (newest - old);
 }
 
 }  // namespace
@@ -58,8 +59,8 @@
       found->second.round_trip = now - found->second.since;
       return;
     }
-    // The client got its answer, or it would not ask again; how long the answer
-    // took isn't known.
+    // The client got its answer, or it would not send another request; how long
+    // the answer took isn't known.
     this->NoteSeen(flow.service, false);
     this->Remove(found);
   }
@@ -93,7 +94,7 @@
 
 void PendingRequests::Expire(milliseconds now) {
   while (!this->to_uncount.empty() &&
-         now - this->to_uncount.front().since >= this->CountedFor()) {
+         now - this->to_uncount.front().since >= this->CountingTime()) {
     if (const auto found = this->Find(this->to_uncount.front());
         found != this->table.end()) {
       this->Uncount(found->second);
@@ -101,7 +102,7 @@
     this->to_uncount.pop_front();
   }
   while (!this->to_forget.empty() &&
-         now - this->to_forget.front().since >= kForgottenAfter) {
+         now - this->to_forget.front().since >= kMaxRequestAge) {
     if (const auto found = this->Find(this->to_forget.front());
         found != this->table.end()) {
       if (found->second.requested) {
@@ -113,7 +114,7 @@
   }
 }
 
-std::size_t PendingRequests::At(TargetIndex target) const {
+std::size_t PendingRequests::CountAt(TargetIndex target) const {
   const auto found = this->counts.find(target);
   return found == this->counts.end() ? 0 : found->second;
 }
@@ -127,18 +128,18 @@
   return milliseconds(static_cast<milliseconds::rep>(this->answer_ms));
 }
 
-bool PendingRequests::MostAreSeen() const {
-  return this->seen_share >= kLeastSeen;
+bool PendingRequests::MostAnswersSeen() const {
+  return this->seen_share >= kMinSeenShare;
 }
 
-// A request whose short answer is acknowledged with the client's next one only
-// looks unanswered long after it was served. A target that has just come has
-// none of these, and would be given every new flow for two seconds.
+// A request whose short answer is acknowledged only with the client's next
+// request looks unanswered long after it was served. A target that has just
+// joined has no such requests and would get every new flow for two seconds.
 void PendingRequests::Add(const common::FlowKey& flow, Pending pending) {
-  if (this->to_forget.size() >= kMost) {
+  if (this->to_forget.size() >= kMaxRequests) {
     return;
   }
-  pending.unanswered = this->SeenShareOf(flow.service) >= kLeastSeen;
+  pending.unanswered = this->SeenShareOf(flow.service) >= kMinSeenShare;
   this->table.insert_or_assign(flow, pending);
   ++this->counts[pending.target];
   if (pending.unanswered) {
@@ -167,7 +168,7 @@
 void PendingRequests::NoteSeen(const common::Endpoint& route, bool seen) {
   const double newest = seen ? 1.0 : 0.0;
   this->seen_share = Average(this->seen_share, newest);
-  if (this->seen_by_route.size() >= kMostRoutes) {
+  if (this->seen_by_route.size() >= kMaxRoutes) {
     this->seen_by_route.clear();
   }
   this->seen_by_route[route] = Average(this->SeenShareOf(route), newest);
@@ -178,13 +179,13 @@
   return found == this->seen_by_route.end() ? 1.0 : found->second;
 }
 
-milliseconds PendingRequests::CountedFor() const {
+milliseconds PendingRequests::CountingTime() const {
   if (this->answer_ms == 0) {
-    return kCountedUnknown;
+    return kInitialCountingTime;
   }
   const milliseconds scaled(
-      static_cast<milliseconds::rep>(kAnswersCounted * this->answer_ms));
-  return std::clamp(scaled, kLeastCounted, kForgottenAfter);
+      static_cast<milliseconds::rep>(kCountedAnswerTimes * this->answer_ms));
+  return std::clamp(scaled, kMinCountingTime, kMaxRequestAge);
 }
 
 PendingRequests::Table::iterator PendingRequests::Find(const Due& due) {
--- a/source/core/steering/pending_requests.h
+++ b/source/core/steering/pending_requests.h
@@ -1,5 +1,5 @@
-/// Requests that targets are believed to be working on, as far as this instance
-/// has forwarded them and has not yet seen a client acknowledge the answer.
+/// Tracks requests in flight: those that this instance has forwarded to targets
+/// and for which it has not yet seen a client acknowledge the answer.
 ///
 /// The instance sees clients' packets only. An answer of two packets or more is
 /// acknowledged at once; the acknowledgement of a shorter one waits for the
@@ -20,23 +20,25 @@
 
 namespace sassafrasdyke::core {
 
-/// How an answer came about.
+/// Timing of an answer.
 struct AnswerTiming {
-  std::chrono::milliseconds sent_at{0};  ///< Its SYN, or its request.
-  std::chrono::milliseconds took{0};     ///< From then on.
-  /// The way to the target, the client and back, as the SYN showed it; 0 for a
-  /// request on a flow that was open before.
+  std::chrono::milliseconds sent_at{0};  ///< The flow's SYN, or the request.
+  std::chrono::milliseconds took{0};     ///< From `sent_at` on.
+  /// Round trip from this instance over the target and the client back, seen in
+  /// the handshake; 0 for a request on a flow that was already open.
   std::chrono::milliseconds round_trip{0};
 
-  /// The flow was opened and then asked, each with one round trip.
-  std::chrono::milliseconds Way() const { return 2 * this->round_trip; }
-  /// What the target took for it.
-  std::chrono::milliseconds AtTarget() const {
-    return std::max(this->took - this->Way(), std::chrono::milliseconds{0});
+  /// Total network time: a round trip for the handshake and one for the
+  /// request.
+  std::chrono::milliseconds NetworkTime() const { return 2 * this->round_trip; }
+  /// Time that the target took, with its queue.
+  std::chrono::milliseconds TimeAtTarget() const {
+    return std::max(this->took - this->NetworkTime(),
+                    std::chrono::milliseconds{0});
   }
 };
 
-/// Counts by target. Times are monotonic.
+/// Counts requests in flight by target. Times are monotonic.
 class PendingRequests {
  public:
   /// A new flow was sent to `target`; its first request follows at once.
@@ -45,9 +47,9 @@
   /// A request was forwarded on an established flow.
   void OnRequest(const common::FlowKey& flow, TargetIndex target,
                  std::chrono::milliseconds now);
-  /// The client acknowledged more of the answer. `at_once`: with a packet that
-  /// carries no request, so the time says how long the target took.
-  /// Returns that.
+  /// The client acknowledged data of the answer. `at_once`: with a packet that
+  /// carries no request, so that the time is the answer's. Returns the timing
+  /// only then.
   std::optional<AnswerTiming> OnAnswer(const common::FlowKey& flow,
                                        bool at_once,
                                        std::chrono::milliseconds now);
@@ -57,20 +59,21 @@
   /// Stops counting requests that have taken too long.
   void Expire(std::chrono::milliseconds now);
 
-  /// Requests now counted at the target.
-  std::size_t At(TargetIndex target) const;
-  /// The same of all targets that have any.
+  /// Number of requests currently counted at the target.
+  std::size_t CountAt(TargetIndex target) const;
+  /// The same for all targets that have any.
   const std::unordered_map<TargetIndex, std::size_t>& Counts() const {
     return this->counts;
   }
-  /// Requests at the target that nobody has seen answered yet, also those that
-  /// have taken too long to be counted by `At`; only of routes most of whose
+  /// Requests at the target whose answer has not been seen, including those
+  /// that are too old to be counted by `CountAt`; only of routes most of whose
   /// answers are seen.
   std::size_t UnansweredAt(TargetIndex target) const;
-  /// How long answers have lately taken, from the request or the SYN.
+  /// Moving average of the answer time, from the request or the SYN; 0 before
+  /// the first answer.
   std::chrono::milliseconds AnswerTime() const;
-  /// Whether most answers are seen. Where they are not, the counts say little.
-  bool MostAreSeen() const;
+  /// Whether enough answers are seen for the counts to be meaningful.
+  bool MostAnswersSeen() const;
 
  private:
   struct Pending {
@@ -79,7 +82,7 @@
     bool counted{true};
     bool unanswered{false};  ///< Counted by UnansweredAt.
     bool requested{false};   ///< A request has followed the SYN.
-    std::chrono::milliseconds round_trip{0};  ///< Between the two.
+    std::chrono::milliseconds round_trip{0};  ///< From SYN to request.
   };
   struct Due {
     std::chrono::milliseconds since{0};
@@ -91,10 +94,11 @@
   void Remove(Table::iterator entry);
   void Uncount(Pending& pending);
   void NoteSeen(const common::Endpoint& route, bool seen);
-  /// Part of the route's answers that are seen at once, lately.
+  /// Moving average of the fraction of the route's answers that are
+  /// acknowledged at once.
   double SeenShareOf(const common::Endpoint& route) const;
   /// How long a request without an answer counts.
-  std::chrono::milliseconds CountedFor() const;
+  std::chrono::milliseconds CountingTime() const;
   /// The entry that `due` was queued for; the end when it is gone or renewed.
   Table::iterator Find(const Due& due);
 
--- a/source/core/steering/target_choice.h
+++ b/source/core/steering/target_choice.h
@@ -1,4 +1,4 @@
-/// Which target gets a new flow.
+/// Selects the target of a new flow.
 #pragma once
 
 #include <chrono>
@@ -9,7 +9,7 @@
 
 #include "common/ids.h"
 #include "core/steering/answer_times.h"
-#include "core/steering/fair_turns.h"
+#include "core/steering/fair_scheduler.h"
 #include "core/steering/flow_packet.h"
 #include "core/steering/pending_requests.h"
 #include "core/steering/target_watch.h"
@@ -22,10 +22,10 @@
 struct ChoiceQuery {
   const Route& route;
   common::Fingerprint flow;
-  /// A target that has just left this flow's SYN unanswered.
-  std::optional<TargetIndex> except;
-  /// Another failure domain to place it in, as the own has enough for now.
-  std::optional<std::string> instead;
+  /// Target to avoid, as it has just left this flow's SYN unanswered.
+  std::optional<TargetIndex> excluded;
+  /// Failure domain to prefer over the own one, which is at its limit.
+  std::optional<std::string> preferred_domain;
   std::chrono::milliseconds now{0};
 };
 
@@ -35,15 +35,15 @@
   SteeringReason reason{SteeringReason::kLocal};
 };
 
-/// Chooses the target of the own failure domain that has the fewest requests of
-/// this instance unanswered, and of these the one whose turn it is. Looks
-/// further when that domain has none that can serve, and for a part of the
-/// flows when it has far fewer of the service's usable targets than the others,
-/// unless the way to them takes longer than the work.
+/// Chooses the target of the own failure domain with the fewest unanswered
+/// requests of this instance; fair queueing decides among equals. Flows spill
+/// to other domains when the own has no usable target, and a part of them when
+/// it has far fewer of the service's usable targets than the others, unless the
+/// additional network time exceeds what its targets take for a request.
 ///
-/// The requests are what a slow target shows first: given its share of the
-/// flows all the same, it would keep them all until they are late, while its
-/// neighbours could have served them in time.
+/// Unanswered requests are the first symptom of a slow target: if it still got
+/// its share of the flows, it would answer all of them late, while other
+/// targets could have served them in time.
 class TargetChoice {
  public:
   /// `domain` is the own failure domain. The tables must outlive this.
@@ -58,21 +58,22 @@
 
   /// A flow was placed at the target.
   void OnPlaced(TargetIndex target);
-  void Forget(TargetIndex target) { this->turns.Forget(target); }
+  void Forget(TargetIndex target) { this->scheduler.Forget(target); }
 
-  /// Nothing when no target of the route's services takes new flows.
+  /// Returns nothing when no target of the route's services accepts new flows.
   std::optional<Choice> Choose(const ChoiceQuery& query) const;
 
  private:
   std::optional<Choice> ChooseOf(const std::string& service,
                                  const ChoiceQuery& query) const;
-  /// With a look at all domains; `local` are the usable ones of the own.
+  /// Chooses among the targets of all domains; `local` holds the usable targets
+  /// of the preferred domain.
   std::optional<Choice> ChooseOfAll(const std::string& service,
                                     const std::vector<TargetIndex>& local,
                                     const ChoiceQuery& query) const;
   bool Usable(TargetIndex index, const ChoiceQuery& query) const;
-  TargetIndex NextInTurn(const std::vector<TargetIndex>& options,
-                         const ChoiceQuery& query) const;
+  TargetIndex LeastLoaded(const std::vector<TargetIndex>& options,
+                          const ChoiceQuery& query) const;
   TargetIndex LeastSuspected(const std::vector<TargetIndex>& options) const;
 
   const std::string domain;
@@ -80,7 +81,7 @@
   const TargetWatch& watch;
   const PendingRequests& pending;
   const AnswerTimes& answer_times;
-  FairTurns turns;
+  FairScheduler scheduler;
 };
 
 }  // namespace sassafrasdyke::core
--- a/source/core/steering/target_watch.cc
+++ b/source/core/steering/target_watch.cc
@@ -5,47 +5,48 @@
 namespace sassafrasdyke::core {
 namespace {
 
-/// How long a first unanswered SYN keeps new flows away. A lost packet causes
-/// it as easily as a dead target, so it is short: two of a client's repeats.
-constexpr std::chrono::milliseconds kFirstSuspicion{500};
-/// A dead target is gone from what is published after three heartbeats, at
-/// most 4 s; one that lives but can't be reached is tried every 8 s.
-constexpr std::chrono::milliseconds kLongestSuspicion{8000};
-/// Past this many doublings the longest suspicion is reached.
-constexpr unsigned kMostDoublings = 4;
-
-/// A client repeats a packet after 200 ms. One that has been repeated, with no
-/// sign of life from any of the target's flows between, is worth a look.
-constexpr unsigned kUnansweredPackets = 2;
-constexpr std::chrono::milliseconds kUnansweredFor{180};
-/// Least time between trial connections to one target that isn't known to be
-/// silent. Each costs the target's machine a handshake.
-constexpr std::chrono::milliseconds kProbePause{300};
-/// Failed trial connections in a row after which a target is silent. One lost
-/// packet can fail one of them, and a target taken for silent by mistake costs
-/// all of its flows.
-constexpr unsigned kFailuresToSilent = 2;
-/// A silent target is tried again this often, so that one behind a cut takes
-/// flows again soon after the cut heals.
-constexpr std::chrono::milliseconds kSilentProbePause{1000};
-
-/// A target that leaves closes its listener, and then its entry goes, a little
-/// before it has served its last flow. It must have been quiet
-/// this long before a failed trial says that it has ended.
-constexpr std::chrono::milliseconds kLingers{1000};
+/// How long new flows avoid a target after a first unanswered SYN. A lost
+/// packet is as likely a cause as a dead target, so it is short: two of a
+/// client's retransmissions.
+constexpr std::chrono::milliseconds kInitialSuspicion{500};
+/// A dead target is unpublished after three heartbeats, at most 4 s; one that
+/// is alive but unreachable is retried every 8 s.
+constexpr std::chrono::milliseconds kMaxSuspicion{8000};
+/// After this many doublings the maximum suspicion is reached.
+constexpr unsigned kMaxDoublings = 4;
+
+/// A client retransmits a packet after 200 ms. A retransmission with no answer
+/// on any of the target's flows in between is reason for a probe.
+constexpr unsigned kMinUnansweredPackets = 2;
+constexpr std::chrono::milliseconds kMinUnansweredTime{180};
+/// Minimum interval between probes of a target that isn't known to be silent.
+/// Each costs the target's host a handshake.
+constexpr std::chrono::milliseconds kProbeInterval{300};
+/// Consecutive failed probes after which a target counts as silent. One lost
+/// packet can fail a probe, and a false positive costs all of the target's
+/// flows.
+constexpr unsigned kFailedProbesUntilSilent = 2;
+/// Probe interval of a silent target, so that one behind a network partition
+/// gets flows again soon after the partition heals.
+constexpr std::chrono::milliseconds kSilentProbeInterval{1000};
+
+/// A leaving target closes its listener and is then unpublished, shortly before
+/// it has served its last flow. Only after this time without an answer does a
+/// failed probe show that it has ended.
+constexpr std::chrono::milliseconds kLeavingGracePeriod{1000};
 
 }  // namespace
 
 void TargetWatch::OnAnswered(TargetIndex target,
                              std::chrono::milliseconds now) {
   State& state = this->states[target];
-  state.misses = 0;
+  state.unanswered_syns = 0;
   state.suspected_until = std::chrono::milliseconds{0};
   state.last_answered = now;
-  ShowLife(state, now);
+  MarkAlive(state, now);
 }
 
-void TargetWatch::ShowLife(State& state, std::chrono::milliseconds now) {
+void TargetWatch::MarkAlive(State& state, std::chrono::milliseconds now) {
   state.unanswered = 0;
   state.unanswered_since = now;
   state.failed_probes = 0;
@@ -59,16 +60,16 @@
     state.unanswered_since = now;
   }
   ++state.unanswered;
-  const bool repeated = state.unanswered >= kUnansweredPackets &&
-                        now - state.unanswered_since >= kUnansweredFor;
+  const bool repeated = state.unanswered >= kMinUnansweredPackets &&
+                        now - state.unanswered_since >= kMinUnansweredTime;
   if (repeated) {
-    this->Ask(target, state);
+    this->RequestProbe(target, state);
   }
 }
 
-void TargetWatch::Ask(TargetIndex target, State& state) {
+void TargetWatch::RequestProbe(TargetIndex target, State& state) {
   state.wants_probe = true;
-  this->asking.insert(target);
+  this->probe_candidates.insert(target);
 }
 
 void TargetWatch::OnLeaving(TargetIndex target, std::chrono::milliseconds now) {
@@ -80,8 +81,8 @@
   State& state = this->states[target];
   state.leaving_since = now;
   state.unpublished = true;
-  this->Ask(target, state);
-  state.next_probe = now + kLingers;
+  this->RequestProbe(target, state);
+  state.next_probe = now + kLeavingGracePeriod;
 }
 
 void TargetWatch::OnServing(TargetIndex target) {
@@ -95,18 +96,20 @@
 std::vector<TargetIndex> TargetWatch::TakeProbes(
     std::chrono::milliseconds now) {
   std::vector<TargetIndex> probes;
-  for (auto asks = this->asking.begin(); asks != this->asking.end();) {
-    State& state = this->states.at(*asks);
+  for (auto candidate = this->probe_candidates.begin();
+       candidate != this->probe_candidates.end();) {
+    State& state = this->states.at(*candidate);
     if (!state.wants_probe && !state.silent) {
-      asks = this->asking.erase(asks);
+      candidate = this->probe_candidates.erase(candidate);
       continue;
     }
     if (state.next_probe <= now) {
       state.wants_probe = false;
-      state.next_probe = now + (state.silent ? kSilentProbePause : kProbePause);
-      probes.push_back(*asks);
+      state.next_probe =
+          now + (state.silent ? kSilentProbeInterval : kProbeInterval);
+      probes.push_back(*candidate);
     }
-    ++asks;
+    ++candidate;
   }
   return probes;
 }
@@ -122,35 +125,37 @@
   state.last_probe = outcome;
   state.probed_at = now;
   if (outcome == ProbeOutcome::kAnswered) {
-    ShowLife(state, now);
-    // Alive, but perhaps slow: it isn't asked again at once.
-    state.next_probe = now + kSilentProbePause;
+    MarkAlive(state, now);
+    // Alive, but perhaps slow: it isn't probed again at once.
+    state.next_probe = now + kSilentProbeInterval;
     return false;
   }
   if (state.last_answered >= started) {
-    return false;  // It has shown life meanwhile.
+    return false;  // It has answered meanwhile.
   }
-  const bool lingers =
+  const bool may_still_serve =
       state.leaving_since &&
-      now - std::max(*state.leaving_since, state.last_answered) < kLingers;
-  if (outcome == ProbeOutcome::kUnclear || lingers) {
+      now - std::max(*state.leaving_since, state.last_answered) <
+          kLeavingGracePeriod;
+  if (outcome == ProbeOutcome::kUnclear || may_still_serve) {
     state.failed_probes = 0;
-    // Packets that stay unanswered ask again; an unpublished target has none.
+    // Further unanswered packets request a probe again; an unpublished target
+    // gets none, so its next probe is requested here.
     state.wants_probe = false;
     if (state.unpublished) {
-      this->Ask(target, state);
+      this->RequestProbe(target, state);
     }
-    state.next_probe = now + kSilentProbePause;
+    state.next_probe = now + kSilentProbeInterval;
     return false;
   }
   ++state.failed_probes;
   const bool certain = outcome == ProbeOutcome::kRefused ||
-                       state.failed_probes >= kFailuresToSilent;
+                       state.failed_probes >= kFailedProbesUntilSilent;
   const bool newly = certain && !state.silent;
   state.silent = certain;
-  this->Ask(target, state);
-  state.wants_probe = !certain;  // A silent one is asked for its silence.
-  state.next_probe = newly ? now + kSilentProbePause : state.next_probe;
+  this->RequestProbe(target, state);
+  state.wants_probe = !certain;  // Silent targets are always probed.
+  state.next_probe = newly ? now + kSilentProbeInterval : state.next_probe;
   return newly;
 }
 
@@ -195,15 +200,16 @@
   return "unknown";
 }
 
-void TargetWatch::OnMissed(TargetIndex target, std::chrono::milliseconds now) {
+void TargetWatch::OnSynUnanswered(TargetIndex target,
+                                  std::chrono::milliseconds now) {
   State& state = this->states[target];
-  ++state.misses;
-  state.last_missed = now;
-  const unsigned doublings = std::min(state.misses - 1, kMostDoublings);
-  const std::chrono::milliseconds wait =
-      std::min(kFirstSuspicion * (1U << doublings), kLongestSuspicion);
-  state.suspected_until = now + wait;
-  this->Ask(target, state);
+  ++state.unanswered_syns;
+  state.last_unanswered_syn = now;
+  const unsigned doublings = std::min(state.unanswered_syns - 1, kMaxDoublings);
+  const std::chrono::milliseconds suspicion =
+      std::min(kInitialSuspicion * (1U << doublings), kMaxSuspicion);
+  state.suspected_until = now + suspicion;
+  this->RequestProbe(target, state);
 }
 
 bool TargetWatch::Suspected(TargetIndex target,
@@ -212,9 +218,11 @@
   return state != nullptr && (state->silent || state->suspected_until > now);
 }
 
-std::chrono::milliseconds TargetWatch::LastMissed(TargetIndex target) const {
+std::chrono::milliseconds TargetWatch::LastUnansweredSyn(
+    TargetIndex target) const {
   const State* const state = this->Find(target);
-  return state == nullptr ? std::chrono::milliseconds{0} : state->last_missed;
+  return state == nullptr ? std::chrono::milliseconds{0}
+                          : state->last_unanswered_syn;
 }
 
 std::chrono::milliseconds TargetWatch::LastAnswered(TargetIndex target) const {
@@ -223,16 +231,16 @@
                           : state->last_answered;
 }
 
-SignsOfLife TargetWatch::Signs(TargetIndex target) const {
+LivenessEvidence TargetWatch::Evidence(TargetIndex target) const {
   const State* const state = this->Find(target);
   if (state == nullptr) {
     return {};
   }
-  SignsOfLife signs{std::nullopt, state->last_probe, state->probed_at};
+  LivenessEvidence evidence{std::nullopt, state->last_probe, state->probed_at};
   if (state->last_answered != std::chrono::milliseconds::min()) {
-    signs.answered_at = state->last_answered;
+    evidence.answered_at = state->last_answered;
   }
-  return signs;
+  return evidence;
 }
 
 const TargetWatch::State* TargetWatch::Find(TargetIndex target) const {
--- a/source/core/steering/target_watch.h
+++ b/source/core/steering/target_watch.h
@@ -1,12 +1,12 @@
-/// What an instance learns of targets from the packets it forwards: who answers
-/// SYNs, who swallows them, and who has fallen silent.
+/// Passive health checking: infers from forwarded packets which targets answer,
+/// which leave SYNs unanswered, and which no longer answer at all (silent).
 ///
-/// A target that dies without a word stays published until its entry lapses,
-/// two to four seconds later. Its clients' requests would wait for nobody until
-/// then, past their deadlines. Packets that stay without an answer raise a
-/// suspicion; connections that the target's machine doesn't take either confirm
-/// it, and clients are told to come back. A slow target still takes
-/// connections, so it is never taken for a silent one.
+/// A crashed target stays published until its entry lapses, two to four seconds
+/// later. Until then its clients' requests would wait in vain, past their
+/// deadlines. Unanswered packets raise a suspicion; if probe connections fail
+/// as well, it is confirmed, and the clients are sent resets so that they
+/// reconnect. A slow target still accepts connections, so it never counts as
+/// silent.
 #pragma once
 
 #include <chrono>
@@ -21,81 +21,85 @@
 
 namespace sassafrasdyke::core {
 
-/// How a trial connection to a target ended.
+/// Outcome of a probe, a trial connection to a target.
 enum class ProbeOutcome : std::uint8_t {
-  kAnswered,  ///< The target's machine took it.
-  kRefused,   ///< Nobody listens there.
-  kSilent,    ///< No answer in time, though a control answered quickly.
-  kUnclear,   ///< No answer, but perhaps for reasons of this instance's own.
+  kAnswered,  ///< The target's host accepted it.
+  kRefused,   ///< The host refused it: nothing listens there.
+  kSilent,    ///< No answer in time, though a control target answered quickly.
+  kUnclear,   ///< No answer, but perhaps because of this instance itself.
 };
 
-/// The log's word for an outcome.
+/// Name of the outcome in logs.
 std::string_view Word(ProbeOutcome outcome);
 
-/// What is known of whether a target lives. Times are monotonic.
-struct SignsOfLife {
+/// Evidence of whether a target is alive. Times are monotonic.
+struct LivenessEvidence {
   /// When a client last showed that the target answers.
   std::optional<std::chrono::milliseconds> answered_at;
-  /// How the last trial connection ended, and when.
+  /// Outcome of the last probe, and when it ended.
   std::optional<ProbeOutcome> probe;
   std::chrono::milliseconds probed_at{0};
 };
 
-/// Passive health, by target. Times are monotonic.
+/// Tracks the health of each target. Times are monotonic.
 class TargetWatch {
  public:
-  /// A packet that a living target answers was sent.
+  /// A packet was sent to which a live target responds.
   void OnSent(TargetIndex target, std::chrono::milliseconds now);
-  /// The target is published as leaving; it serves its flows to the end.
+  /// The target is published as leaving; it goes on serving its existing flows.
   void OnLeaving(TargetIndex target, std::chrono::milliseconds now);
   /// The target is no longer published; it may have ended.
   void OnUnpublished(TargetIndex target, std::chrono::milliseconds now);
   /// The target is published as serving.
   void OnServing(TargetIndex target);
-  /// A trial connection ended that was started at `started`; true if the
-  /// target is silent since now.
+  /// Records the outcome of a probe that was started at `started`. Returns true
+  /// if the target has just become silent.
   bool OnProbed(TargetIndex target, ProbeOutcome outcome,
                 std::chrono::milliseconds started,
                 std::chrono::milliseconds now);
-  /// Takes the targets to which a trial connection shall be made.
+  /// Returns the targets that are due for a probe and marks them as probed.
   std::vector<TargetIndex> TakeProbes(std::chrono::milliseconds now);
-  /// The process stood still: what it has not seen meanwhile says nothing.
+  /// The process was paused: answers that it did not see meanwhile are no
+  /// evidence against a target.
   void OnPause(std::chrono::milliseconds now);
-  /// The target that showed life last, since `since`, other than `except`.
+  /// The target other than `except` that answered most recently, at `since` or
+  /// later. It serves as the control of a probe.
   std::optional<TargetIndex> LastAlive(TargetIndex except,
                                        std::chrono::milliseconds since) const;
-  /// Whether the target surely doesn't answer now.
+  /// Whether probes have confirmed that the target doesn't answer.
   bool Silent(TargetIndex target) const;
 
-  /// A client shows that the target answered.
+  /// A client has shown that the target answered.
   void OnAnswered(TargetIndex target, std::chrono::milliseconds now);
-  /// A client repeats a SYN that the target has left unanswered.
-  void OnMissed(TargetIndex target, std::chrono::milliseconds now);
+  /// A client retransmitted a SYN that the target has left unanswered.
+  void OnSynUnanswered(TargetIndex target, std::chrono::milliseconds now);
   void Forget(TargetIndex target) {
     this->states.erase(target);
-    this->asking.erase(target);
+    this->probe_candidates.erase(target);
   }
 
   /// Whether new flows should avoid the target.
   bool Suspected(TargetIndex target, std::chrono::milliseconds now) const;
-  /// When the target last left a SYN unanswered; the least for never.
-  std::chrono::milliseconds LastMissed(TargetIndex target) const;
-  /// When a client last showed that the target answers.
+  /// When the target last left a SYN unanswered; 0 if never.
+  std::chrono::milliseconds LastUnansweredSyn(TargetIndex target) const;
+  /// When a client last showed that the target answers; `milliseconds::min()`
+  /// if never.
   std::chrono::milliseconds LastAnswered(TargetIndex target) const;
-  SignsOfLife Signs(TargetIndex target) const;
+  LivenessEvidence Evidence(TargetIndex target) const;
 
  private:
   struct State {
-    unsigned misses{0};
-    std::chrono::milliseconds last_missed{0};
+    unsigned unanswered_syns{0};
+    std::chrono::milliseconds last_unanswered_syn{0};
     std::chrono::milliseconds last_answered{std::chrono::milliseconds::min()};
     std::optional<ProbeOutcome> last_probe;
     std::chrono::milliseconds probed_at{0};
     std::chrono::milliseconds suspected_until{0};
-    /// Packets sent since the target last showed life, and since when.
+    /// Packets sent since the target last answered, and when the first of them
+    /// was sent.
     unsigned unanswered{0};
     std::chrono::milliseconds unanswered_since{0};
-    /// Trial connections in a row that failed, with no sign of life between.
+    /// Consecutive failed probes, with no answer in between.
     unsigned failed_probes{0};
     std::chrono::milliseconds next_probe{0};
     bool wants_probe{false};
@@ -105,13 +109,13 @@
     bool silent{false};
   };
   const State* Find(TargetIndex target) const;
-  void Ask(TargetIndex target, State& state);
-  static void ShowLife(State& state, std::chrono::milliseconds now);
+  void RequestProbe(TargetIndex target, State& state);
+  static void MarkAlive(State& state, std::chrono::milliseconds now);
 
   std::unordered_map<TargetIndex, State> states;
-  /// Those that may want a trial connection: looked at with every batch of
-  /// packets, while thousands of others have nothing to ask.
-  std::unordered_set<TargetIndex> asking;
+  /// Targets that may need a probe. A set of its own, as it is scanned with
+  /// every batch of packets while thousands of other targets need none.
+  std::unordered_set<TargetIndex> probe_candidates;
 };
 
 }  // namespace sassafrasdyke::core
--- a/source/front/flow_port.cc
+++ b/source/front/flow_port.cc
@@ -105,17 +105,17 @@
   const auto packet = this->context.format.Read(bytes);
   if (!packet) {
     this->context.metrics.OnDecision(
-        core::StaySilent{core::SilenceReason::kMalformed});
+        core::SilentDrop{core::SilentDropReason::kMalformed});
     return;
   }
   if (this->old_packets && packet->flags.syn) {
     this->LogDecision(*packet,
-                      core::StaySilent{core::SilenceReason::kOutdated});
+                      core::SilentDrop{core::SilentDropReason::kOutdated});
     return;
   }
-  if (const auto room = this->admission.Admit(*packet, bytes, came_at,
-                                              this->context.clock.Now())) {
-    this->Steer(*packet, bytes, *room);
+  if (const auto grant = this->admission.Admit(*packet, bytes, came_at,
+                                               this->context.clock.Now())) {
+    this->Steer(*packet, bytes, *grant);
   } else {
     this->LogDecision(*packet, core::HoldBack{});
   }
@@ -123,9 +123,9 @@
 
 void FlowPort::Steer(const core::FlowPacket& packet,
                      std::span<const std::uint8_t> bytes,
-                     const core::OpeningRoom& room) {
+                     const core::AdmissionGrant& grant) {
   const core::SteeringAction action =
-      this->steering.OnPacket(packet, this->context.clock.Now(), room);
+      this->steering.OnPacket(packet, this->context.clock.Now(), grant);
   this->Act(packet, action, bytes);
   this->LogDecision(packet, action);
 }
@@ -133,9 +133,9 @@
 void FlowPort::ReleaseHeld() {
   const milliseconds now = this->context.clock.Now();
   while (const auto released = this->admission.TakeNext(now)) {
-    const std::vector<std::uint8_t>& bytes = released->opening.bytes;
+    const std::vector<std::uint8_t>& bytes = released->syn.bytes;
     if (const auto packet = this->context.format.Read(bytes)) {
-      this->Steer(*packet, bytes, released->room);
+      this->Steer(*packet, bytes, released->grant);
     }
   }
 }
@@ -197,7 +197,7 @@
     return std::nullopt;
   }
   return DecisionTarget{this->context.view.Targets().At(*index),
-                        this->steering.Watch().Signs(*index)};
+                        this->steering.Watch().Evidence(*index)};
 }
 
 void FlowPort::StartProbes() {
--- a/source/front/flow_port.h
+++ b/source/front/flow_port.h
@@ -12,7 +12,7 @@
 #include <tl/expected.hpp>
 
 #include "common/address.h"
-#include "core/steering/admission.h"
+#include "core/steering/admission_control.h"
 #include "core/steering/flow_steering.h"
 #include "core/steering/packet_format.h"
 #include "core/view/live_view.h"
@@ -70,7 +70,7 @@
                 std::chrono::milliseconds came_at);
   void Steer(const core::FlowPacket& packet,
              std::span<const std::uint8_t> bytes,
-             const core::OpeningRoom& room);
+             const core::AdmissionGrant& grant);
   /// Sends on the held SYNs for which targets have room now.
   void ReleaseHeld();
   void Act(const core::FlowPacket& packet, const core::SteeringAction& action,
@@ -91,7 +91,7 @@
   const common::Endpoint listen;
   std::unique_ptr<PacketPort> port;
   core::FlowSteering steering;
-  core::Admission admission;
+  core::AdmissionControl admission;
   EarlyPackets early;
   ConnectProber prober;
   ev::io readable;
--- a/source/front/front_log.cc
+++ b/source/front/front_log.cc
@@ -105,7 +105,7 @@
     fields["waiting"] = inputs.waiting;
   } else {
     event = "dropped";
-    fields["reason"] = Word(std::get<core::StaySilent>(action).reason);
+    fields["reason"] = Word(std::get<core::SilentDrop>(action).reason);
     fields["opening"] = packet.flags.syn;
     fields["word"] = packet.word.value;
   }
--- a/source/front/front_log.h
+++ b/source/front/front_log.h
@@ -23,7 +23,7 @@
 /// The target of a flow about which something was decided.
 struct DecisionTarget {
   const core::TargetEntry& entry;
-  core::SignsOfLife signs;
+  core::LivenessEvidence signs;
 };
 
 /// Writes a line for each decision about a new or refused flow and for each
--- a/source/front/front_metrics.cc
+++ b/source/front/front_metrics.cc
@@ -161,7 +161,7 @@
   } else if (std::holds_alternative<core::HoldBack>(action)) {
     ++this->held;
   } else {
-    ++this->dropped[Word(std::get<core::StaySilent>(action).reason)];
+    ++this->dropped[Word(std::get<core::SilentDrop>(action).reason)];
   }
 }
 
--- a/source/front/front_process.cc
+++ b/source/front/front_process.cc
@@ -163,7 +163,7 @@
   state.targets_serving = this->view.Targets().ServingCount();
   state.routes = this->view.Routes().Size();
   state.members = this->sync.Members().Size();
-  state.openings = this->flows->Steering().Openings();
+  state.openings = this->flows->Steering().HalfOpenFlows();
   state.openings_waiting = this->flows->OpeningsWaiting();
   state.remembered_flows = this->flows->Steering().RememberedFlows();
   state.reads_store = this->reading;
--- a/tests/core/steering/admission_test.cc
+++ b/tests/core/steering/admission_control_test.cc
@@ -1,5 +1,5 @@
-/// Which flows are opened when all callers come at once.
-#include "core/steering/admission.h"
+/// Which flows are admitted when all callers open theirs at once.
+#include "core/steering/admission_control.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -11,21 +11,21 @@
 
 using namespace std::chrono_literals;
 
-/// One target, whose answers are slow to come.
+/// One target that has not answered yet.
 struct BusyScene : SteeringScene {
   BusyScene() {
     this->Configure("1 198.18.0.1:443=diary", 0ms);
     this->Publish("a1", "diary north 10.0.0.1:80", 0ms);
   }
-  std::optional<OpeningRoom> Admit(const FlowPacket& packet,
-                                   std::chrono::milliseconds now) {
-    auto room = this->admission.Admit(packet, {}, now, now);
-    if (room) {
-      this->steering.OnPacket(packet, now, *room);
+  std::optional<AdmissionGrant> Admit(const FlowPacket& packet,
+                                      std::chrono::milliseconds now) {
+    auto grant = this->admission.Admit(packet, {}, now, now);
+    if (grant) {
+      this->steering.OnPacket(packet, now, *grant);
     }
-    return room;
+    return grant;
   }
-  /// Opens flows until one has to wait; returns its port.
+  /// Opens flows until one is queued; returns its port.
   std::uint16_t Fill(std::chrono::milliseconds now) {
     std::uint16_t port = 1000;
     while (this->Admit(Syn(port), now)) {
@@ -35,15 +35,15 @@
     return port;
   }
 
-  Admission admission{this->view.Routes(), this->steering};
+  AdmissionControl admission{this->view.Routes(), this->steering};
 };
 
-// All instances were off for 1.2 s. Their callers are back within half a
-// second, and 200 new ones come each second, of the 279 that the targets can
-// serve. Sent on as they come, they fill the queues: hundreds are turned away
-// and come again, and one in five of those who ask after the outage is never
-// served.
-BOOST_AUTO_TEST_CASE(after_an_outage_those_in_time_go_first) {
+// Guards against overload after all instances were down for 1.2 s: their
+// callers return within half a second, while 200 new ones arrive each second
+// and the targets can serve 279. Forwarded at once, they fill the queues:
+// hundreds are shed and retry, and one in five of those who ask after the
+// outage is never served.
+BOOST_AUTO_TEST_CASE(callers_still_in_time_are_served_first_after_an_outage) {
   const HerdOutcome at_once = ReopeningHerd(false).Play();
   const HerdOutcome held = ReopeningHerd(true).Play();
 
@@ -60,8 +60,9 @@
   BOOST_TEST(held.shed * 10 < at_once.shed);
 }
 
-// A flow waits, and goes on as soon as a client acknowledges an answer.
-BOOST_AUTO_TEST_CASE(an_answer_makes_room) {
+// Guards against a queued SYN that isn't released when a client acknowledges an
+// answer.
+BOOST_AUTO_TEST_CASE(an_answer_releases_a_queued_syn) {
   BusyScene scene;
   const std::uint16_t waiting = scene.Fill(10ms);
   BOOST_TEST(scene.admission.Waiting() == 1U);
@@ -74,15 +75,15 @@
 
   const auto released = scene.admission.TakeNext(30ms);
   BOOST_REQUIRE(released.has_value());
-  BOOST_TEST(released->opening.flow.caller.port == waiting);
+  BOOST_TEST(released->syn.flow.caller.port == waiting);
   BOOST_TEST(scene.admission.Waiting() == 0U);
 }
 
-// The client has repeated its SYN, the copy reached another instance, and the
-// flow is open there. If the SYN that waits here went on after that, a second
-// target would open the flow too, and its answer would draw the client's
-// packets away from the first.
-BOOST_AUTO_TEST_CASE(a_flow_that_is_open_waits_no_more) {
+// The client has retransmitted its SYN, and the copy opened the flow through
+// another instance. If the queued SYN were still forwarded, a second target
+// would open the flow too, and its answer would divert the client's packets
+// from the first.
+BOOST_AUTO_TEST_CASE(a_flow_opened_elsewhere_leaves_the_queue) {
   BusyScene scene;
   const std::uint16_t waiting = scene.Fill(10ms);
 
@@ -91,10 +92,10 @@
   BOOST_TEST(scene.admission.Waiting() == 0U);
 }
 
-// An instance that has just started took a SYN 150 ms before it knew any
-// target, and then all targets are busy. The client sends its copy 200 ms after
-// the SYN, so this one must be dropped 30 ms later, not 180.
-BOOST_AUTO_TEST_CASE(a_syn_from_before_the_view_is_no_younger_for_it) {
+// A recently started instance received a SYN 150 ms before it had a view, and
+// then all targets are busy. The client retransmits 200 ms after the SYN, so
+// the queued one must be dropped 30 ms later, not 180.
+BOOST_AUTO_TEST_CASE(a_syn_from_before_the_view_keeps_its_arrival_time) {
   BusyScene scene;
   scene.Fill(160ms);
   scene.admission.OnPause();
@@ -107,8 +108,9 @@
   BOOST_TEST(scene.admission.Waiting() == 0U);
 }
 
-// The process stood still while a SYN waited. Its client has long repeated it.
-BOOST_AUTO_TEST_CASE(a_pause_ends_all_waiting) {
+// Guards against forwarding a SYN from before a pause of the process: its
+// client has retransmitted it meanwhile.
+BOOST_AUTO_TEST_CASE(a_pause_clears_the_queue) {
   BusyScene scene;
   scene.Fill(10ms);
 
@@ -117,9 +119,9 @@
   BOOST_TEST(scene.admission.Waiting() == 0U);
 }
 
-// A route is withdrawn while a SYN for it waits. The client is told at once,
-// instead of repeating it twice.
-BOOST_AUTO_TEST_CASE(a_withdrawn_routes_openings_are_let_go) {
+// A route is withdrawn while a SYN for it is queued. The client is refused at
+// once instead of retransmitting twice.
+BOOST_AUTO_TEST_CASE(syns_of_a_withdrawn_route_are_released) {
   BusyScene scene;
   const std::uint16_t waiting = scene.Fill(10ms);
   scene.Configure("2 198.18.0.2:443=diary", 20ms);
@@ -127,7 +129,7 @@
   const auto released = scene.admission.TakeNext(30ms);
 
   BOOST_REQUIRE(released.has_value());
-  BOOST_TEST(released->opening.flow.caller.port == waiting);
+  BOOST_TEST(released->syn.flow.caller.port == waiting);
   BOOST_TEST(WordOf(scene.steering.OnPacket(SteeringScene::Syn(waiting),
                                             30ms)) == "no-route");
 }
--- a/tests/core/steering/answer_times_test.cc
+++ b/tests/core/steering/answer_times_test.cc
@@ -1,4 +1,4 @@
-/// Whether flows gain by going to another failure domain.
+/// Whether the network time to another failure domain outweighs the work.
 #include "core/steering/answer_times.h"
 
 #include <boost/test/data/monomorphic.hpp>
@@ -13,15 +13,15 @@
 using namespace std::chrono_literals;
 using Time = std::chrono::milliseconds;
 
-/// What the answers of each side took; `asked_after` the last of them the
-/// question is put.
+/// Answers of local (near) and remote (far) targets; the averages are read
+/// `read_after` the last of them.
 struct Answers {
   std::string name;
   Time near_round_trip;
   Time near_work;
   Time far_round_trip;
   Time far_work;
-  Time asked_after;
+  Time read_after;
   int near;
   int far;
   bool outweighs;
@@ -43,7 +43,8 @@
     {"known long ago", 26ms, 2ms, 34ms, 2ms, 60s, 10, 10, false},
 };
 
-BOOST_DATA_TEST_CASE(the_way_is_weighed_against_the_work, kAnswers, row) {
+BOOST_DATA_TEST_CASE(network_time_is_compared_with_time_at_the_target, kAnswers,
+                     row) {
   AnswerTimes times;
   const auto answer = [&times](bool near, Time round_trip, Time work) {
     times.OnAnswer("diary", near, {100ms, 2 * round_trip + work, round_trip},
@@ -56,9 +57,9 @@
     answer(false, row.far_round_trip, row.far_work);
   }
 
-  BOOST_TEST(times.WayOutweighsWork("diary", 200ms + row.asked_after) ==
+  BOOST_TEST(times.RemoteDetourCostsMore("diary", 200ms + row.read_after) ==
              row.outweighs);
-  BOOST_TEST(!times.WayOutweighsWork("menu", 200ms + row.asked_after));
+  BOOST_TEST(!times.RemoteDetourCostsMore("menu", 200ms + row.read_after));
 }
 
 }  // namespace
--- a/tests/core/steering/differential_test.cc
+++ b/tests/core/steering/differential_test.cc
@@ -1,7 +1,7 @@
-/// Random histories of a fleet against a model that knows everything: targets
-/// come, drain, crash and hand their addresses on, configurations change,
-/// instances restart and lose the store, packets arrive anywhere and
-/// repeatedly.
+/// Random histories of a fleet, checked against a model with global knowledge:
+/// targets start, drain, crash and have their addresses reused, configurations
+/// change, instances restart and lose the store, packets arrive at any instance
+/// and repeatedly.
 #include <boost/test/data/monomorphic.hpp>
 #include <boost/test/data/test_case.hpp>
 #include <boost/test/unit_test.hpp>
@@ -23,11 +23,11 @@
 constexpr std::size_t kInstances = 4;
 constexpr int kSteps = 3000;
 constexpr milliseconds kStep = 20ms;
-/// How long after its publication a change may be unknown to an instance that
-/// the store serves.
+/// Maximum time until an instance that the store serves knows a published
+/// change.
 constexpr milliseconds kLag = 300ms;
 
-/// The truth about one target.
+/// Actual state of one target.
 struct TrueTarget {
   std::string id;
   std::string service;
@@ -38,19 +38,19 @@
   milliseconds leaves_since{0};  ///< When draining or its end was published.
 };
 
-/// The truth about one open flow.
+/// Actual state of one open flow.
 struct TrueFlow {
   std::uint16_t port{0};
   std::uint32_t word{0};
 };
 
-/// One instance: its view follows the store, at once or late or not at all.
+/// One instance. Its view follows the store at once, late or not at all.
 struct Node {
   Node() : scene(std::make_unique<SteeringScene>()) {}
 
   std::unique_ptr<SteeringScene> scene;
-  bool refused{false};           ///< The store doesn't serve it.
-  milliseconds served_since{0};  ///< By the store, without a break.
+  bool refused{false};           ///< The store refuses its requests.
+  milliseconds served_since{0};  ///< By the store, without interruption.
   milliseconds started_at{0};
   milliseconds synced_at{0};
   std::uint64_t version{0};
@@ -203,7 +203,7 @@
     }
   }
 
-  /// A live target that the store can't hear is published as removed, and
+  /// A live target that is cut off from the store is published as removed, and
   /// registers again a moment later.
   void Lapse() {
     if (const auto word = this->AnyLive()) {
@@ -247,7 +247,7 @@
     }
     const TrueFlow flow = this->flows[this->random.Below(this->flows.size())];
     const bool living = this->targets[flow.word].alive;
-    // A target that lives acknowledges; one that has ended doesn't.
+    // Only live targets acknowledge.
     const bool acknowledges = living && this->random.Below(3) == 0;
     const FlowPacket packet = acknowledges
                                   ? SteeringScene::Ack(flow.port, flow.word)
@@ -262,7 +262,8 @@
         SteeringScene::Syn(port, repeats), this->Since(node));
     const std::uint32_t word = node.scene->WordOf(action);
     if (word == 0) {
-      // No target only when the node knows of none that serves the route.
+      // No target is chosen only when the node knows of none that serves the
+      // route.
       const bool settling =
           node.scene->view.Contact().LapseLikely(this->Since(node));
       BOOST_REQUIRE(WordOf(action) == (settling ? "stale-view" : "no-target"));
@@ -294,7 +295,8 @@
       return;
     }
     if (living) {
-      // Silence may cost a moment; a reset would end a flow that is served.
+      // A silent drop costs only a retransmission; a reset would end a live
+      // flow.
       BOOST_REQUIRE_MESSAGE(!std::holds_alternative<Refuse>(action),
                             "a living flow was reset: " << WordOf(action));
     }
--- a/tests/core/steering/flow_steering_test.cc
+++ b/tests/core/steering/flow_steering_test.cc
@@ -1,4 +1,4 @@
-/// What becomes of packets while targets come, go and fall silent.
+/// Decisions about packets while targets join, leave and stop answering.
 #include "core/steering/flow_steering.h"
 
 #include <boost/test/data/monomorphic.hpp>
@@ -23,7 +23,7 @@
   }
 };
 
-BOOST_AUTO_TEST_CASE(a_carried_word_decides_on_any_instance) {
+BOOST_AUTO_TEST_CASE(any_instance_forwards_by_the_word) {
   Scene one;
   Scene other;
   const std::uint32_t word =
@@ -64,8 +64,8 @@
 };
 
 // Every target of the own domain is leaving, or its entry was overwritten. New
-// flows go to another domain, and none is refused while somebody can serve.
-BOOST_DATA_TEST_CASE(new_flows_leave_the_domain_only_when_it_has_nobody,
+// flows go to another domain, and none is refused while any target can serve.
+BOOST_DATA_TEST_CASE(new_flows_leave_the_domain_only_when_it_has_no_target,
                      kLosses, row) {
   Scene scene;
   scene.Publish("a1", row.change, 10ms);
@@ -75,9 +75,9 @@
              row.reason);
 }
 
-// Nobody is left at all. A client that hears nothing waits 1.4 s for its
-// attempt to fail; told at once, it can do something else.
-BOOST_AUTO_TEST_CASE(a_flow_that_nobody_can_take_is_refused_at_once) {
+// No target is left. Without a reset the client would wait 1.4 s for its
+// attempt to fail.
+BOOST_AUTO_TEST_CASE(a_flow_without_any_target_is_refused_at_once) {
   Scene scene;
   for (const std::string id : {"a1", "a2", "b1"}) {
     scene.Remove(id, 10ms);
@@ -87,11 +87,11 @@
              "no-target");
 }
 
-// An instance starts just after the store has come back. All entries have
-// lapsed meanwhile, and the targets that serve will register within two
-// seconds; peers have told of the store's return. A reset would fail attempts
-// that another instance, or this one a moment later, can serve.
-BOOST_AUTO_TEST_CASE(nobody_is_refused_while_targets_register_again) {
+// An instance starts just after the store has recovered, as peers have told it.
+// All entries have lapsed meanwhile, and the serving targets will register
+// again within two seconds. A reset would fail attempts that another instance,
+// or this one a moment later, can serve.
+BOOST_AUTO_TEST_CASE(no_flow_is_refused_while_targets_register_again) {
   SteeringScene scene;
   scene.Configure("1 198.18.0.1:443=diary", 0ms);
   scene.view.Contact().OnReturn(0ms);
@@ -114,11 +114,11 @@
 
 const Unknown kUnknownRoutes[] = {{100ms, "no-route"}, {10s, "stale-view"}};
 
-// An instance that has heard nothing for ten seconds meets a route that it
-// doesn't know: perhaps it was added meanwhile. A reset would fail the client's
-// attempt on a guess; in silence the client repeats its packet.
-BOOST_DATA_TEST_CASE(a_stale_view_refuses_no_unknown_route, kUnknownRoutes,
-                     row) {
+// An instance without updates for ten seconds gets a packet of an unknown
+// route, which may have been added meanwhile. A reset would fail the client's
+// attempt on a guess; after a silent drop the client retransmits.
+BOOST_DATA_TEST_CASE(packets_of_unknown_routes_are_not_reset_with_a_stale_view,
+                     kUnknownRoutes, row) {
   Scene scene;
   FlowPacket packet = SteeringScene::Syn(1000);
   packet.flow.service = *common::Endpoint::Parse("198.18.0.9:443");
@@ -126,7 +126,7 @@
   BOOST_TEST(WordOf(scene.steering.OnPacket(packet, row.age)) == row.outcome);
 }
 
-// A route is withdrawn. Its flows are told, so that clients don't wait for
+// A route is withdrawn. Its flows are reset, so that clients don't wait for
 // answers that the operator no longer wants given.
 BOOST_AUTO_TEST_CASE(flows_of_a_withdrawn_route_are_reset) {
   Scene scene;
@@ -136,9 +136,9 @@
                                             20ms)) == "no-route");
 }
 
-// A target's SYN-ACK that strays to an instance must never reach a target: it
-// would be taken for a forged one.
-BOOST_AUTO_TEST_CASE(what_only_targets_send_goes_nowhere) {
+// A target's SYN-ACK that is misrouted to an instance must never reach a
+// target, which would take it for a forged one.
+BOOST_AUTO_TEST_CASE(a_syn_ack_is_dropped) {
   Scene scene;
   FlowPacket packet = SteeringScene::Syn(1000);
   packet.flags.ack = true;
@@ -162,11 +162,13 @@
     {200ms, true, "repeated"},
 };
 
-// A target died a moment ago and swallows a SYN. The client repeats it after
-// 200 ms; sent to the dead target again, the attempt fails after 1.4 s. But two
-// copies that waited together in the socket of a process that stood still say
-// nothing about the target, and must not open the flow at two targets.
-BOOST_DATA_TEST_CASE(a_repeated_syn_tries_another_target, kRepeats, row) {
+// A target has just crashed and leaves a SYN unanswered. The client retransmits
+// it after 200 ms; sent to the dead target again, the attempt would fail after
+// 1.4 s. But two copies that were queued together in the socket of a paused
+// process are no evidence against the target, and must not open the flow at two
+// targets.
+BOOST_DATA_TEST_CASE(a_retransmitted_syn_goes_to_another_target, kRepeats,
+                     row) {
   Scene scene;
   const std::uint32_t first =
       scene.WordOf(scene.steering.OnPacket(SteeringScene::Syn(1000), 10ms));
@@ -181,8 +183,8 @@
   BOOST_TEST((scene.WordOf(action) == first) == (row.reason == "repeated"));
 }
 
-// After the miss the target is avoided by new flows, until a client shows that
-// it answers.
+// New flows avoid a target that left a SYN unanswered, until the suspicion
+// ends.
 BOOST_AUTO_TEST_CASE(a_target_that_missed_a_syn_is_avoided_for_a_while) {
   Scene scene;
   const std::uint32_t missed =
@@ -195,8 +197,7 @@
   BOOST_TEST(!scene.steering.Watch().Suspected(scene.IndexOf(missed), 800ms));
 }
 
-// One target swallows everything and the whole rest of the service is gone.
-// The one is still better than nobody.
+// The only target left is suspected. Using it is better than refusing the flow.
 BOOST_AUTO_TEST_CASE(a_suspected_target_is_used_when_there_is_no_other) {
   Scene scene;
   scene.Remove("a2", 0ms);
@@ -209,10 +210,10 @@
              "suspected-only");
 }
 
-// Another instance has placed a flow at a target that this one hasn't heard of
+// Another instance has placed a flow at a target that this one hasn't learnt of
 // yet. The client's packet must not be answered by a reset; a moment later the
 // view has the target.
-BOOST_AUTO_TEST_CASE(an_unknown_word_is_waited_for) {
+BOOST_AUTO_TEST_CASE(a_packet_with_an_unknown_word_is_not_reset_at_once) {
   Scene scene;
   BOOST_TEST(WordOf(scene.steering.OnPacket(SteeringScene::Data(1000, 0xC1),
                                             100ms)) == "unknown-target");
@@ -234,10 +235,11 @@
 const StillUnknown kStillUnknown[] = {{true, "target-gone"},
                                       {false, "unknown-target"}};
 
-// A target ended before this instance started; its clients still send to it.
-// When a fresh view lacks it for long enough, they are told. An instance that
-// hears nothing keeps silent: it may lack the target for that reason.
-BOOST_DATA_TEST_CASE(a_word_that_stays_unknown_is_reset_on_fresh_news_only,
+// A target ended before this instance started, and its clients still send to
+// it. Once a fresh view has lacked it for long enough, they are reset. An
+// instance without updates drops the packets silently, as it may lack the
+// target for that reason.
+BOOST_DATA_TEST_CASE(a_word_that_stays_unknown_is_reset_only_with_a_fresh_view,
                      kStillUnknown, row) {
   Scene scene;
   scene.steering.OnPacket(SteeringScene::Data(1000, 0xC1), 100ms);
@@ -249,10 +251,10 @@
                                             3600ms)) == row.outcome);
 }
 
-// A target crashes; its entry lapses. Its clients are told with their next
-// packet instead of waiting for their deadlines. For a second after the removal
-// they aren't: a target that leaves as planned serves its last flows a little
-// longer than its entry lives.
+// A target crashes and its entry lapses. Its clients are reset with their next
+// packet instead of waiting for their deadlines, but not within a second of the
+// removal: a target that leaves as planned serves its last flows a little
+// longer than its entry exists.
 BOOST_AUTO_TEST_CASE(flows_of_a_target_that_is_gone_are_reset) {
   Scene scene;
   scene.Remove("a1", 5000ms);
@@ -278,9 +280,9 @@
                                             6500ms)) == "target-gone");
 }
 
-// A word that names a target of a service which the route never used is a
-// client's mistake or worse; it must not reach that service.
-BOOST_AUTO_TEST_CASE(a_word_of_another_service_is_not_honoured) {
+// A word of a target whose service the route never used is a client's error or
+// forged; the packet must not reach that service.
+BOOST_AUTO_TEST_CASE(a_packet_with_a_word_of_another_service_is_dropped) {
   Scene scene;
   scene.Publish("c1", "menu north 10.0.0.3:80", 0ms);
   scene.view.Contact().OnAnswer(70s);
@@ -289,11 +291,10 @@
                                             70s)) == "other-service");
 }
 
-// Two targets die without a word. Requests on their open flows are repeated
-// without an answer; trial connections fail; from then on clients are told at
-// once. The flows that are idle are told too, so that the next booking on them
-// isn't lost.
-BOOST_AUTO_TEST_CASE(flows_of_a_silent_target_are_reset_after_trials) {
+// A target crashes. Requests on its open flows are retransmitted without an
+// answer and probes fail; from then on clients are reset at once. Idle flows
+// are reset too, so that the next booking on them isn't lost.
+BOOST_AUTO_TEST_CASE(flows_of_a_silent_target_are_reset_after_failed_probes) {
   Scene scene;
   scene.steering.OnPacket(SteeringScene::Ack(2000, 0xA1), 0ms);
   scene.steering.OnPacket(SteeringScene::Data(1000, 0xA1), 1000ms);
--- a/tests/core/steering/modelled_target.h
+++ b/tests/core/steering/modelled_target.h
@@ -1,4 +1,5 @@
-/// A target with slots and a queue, for plays of a load. Callers are numbers.
+/// A simulated target with slots and a queue, for load tests. Callers are
+/// identified by numbers.
 #pragma once
 
 #include <chrono>
@@ -20,8 +21,8 @@
     return true;
   }
 
-  /// Returns those whose requests are done, and starts others in their slots.
-  /// `work_time()` says how long each takes that starts.
+  /// Returns the callers whose requests are done, and starts others in their
+  /// slots. `work_time()` returns how long each started request takes.
   template <typename WorkTime>
   std::vector<std::size_t> Work(std::chrono::milliseconds now,
                                 WorkTime work_time) {
@@ -46,7 +47,7 @@
   static constexpr std::size_t kQueue = 8;
 
   std::deque<std::size_t> queue;
-  /// Callers, and when their requests are done.
+  /// Callers by number, and when their requests are done.
   std::map<std::size_t, std::chrono::milliseconds> in_work;
 };
 
--- a/tests/core/steering/reopening_herd.cc
+++ b/tests/core/steering/reopening_herd.cc
@@ -74,23 +74,24 @@
   const FlowPacket syn = SteeringScene::Syn(caller.port, caller.copies);
   ++caller.copies;
   if (now > caller.syn_sent + kCopies[caller.copies - 1]) {
-    return;  // It was sent while the instance was off.
+    return;  // It was sent while the instance was down.
   }
   if (!this->holds_back) {
     this->Open(id, this->scene.WordOf(this->scene.steering.OnPacket(syn, now)),
                now);
-  } else if (const auto room = this->admission.Admit(syn, {}, now, now)) {
+  } else if (const auto grant = this->admission.Admit(syn, {}, now, now)) {
     this->Open(
-        id, this->scene.WordOf(this->scene.steering.OnPacket(syn, now, *room)),
+        id, this->scene.WordOf(this->scene.steering.OnPacket(syn, now, *grant)),
         now);
   }
 }
 
 void ReopeningHerd::ReleaseHeld(Time now) {
   while (const auto released = this->admission.TakeNext(now)) {
-    const std::uint16_t port = released->opening.flow.caller.port;
+    const std::uint16_t port = released->syn.flow.caller.port;
     const FlowPacket syn = SteeringScene::Syn(port);
-    const auto action = this->scene.steering.OnPacket(syn, now, released->room);
+    const auto action =
+        this->scene.steering.OnPacket(syn, now, released->grant);
     this->Open(this->by_port.at(port), this->scene.WordOf(action), now);
   }
 }
@@ -126,7 +127,7 @@
   ack.acknowledgement = 1000;
   this->scene.steering.OnPacket(ack, now + kRoundTrip);
   if (caller.done) {
-    return;  // It has given up; the target worked for nobody.
+    return;  // The caller has given up; the target's work is wasted.
   }
   caller.done = true;
   const Time took = now + kRoundTrip - caller.wants_since;
--- a/tests/core/steering/reopening_herd.h
+++ b/tests/core/steering/reopening_herd.h
@@ -1,6 +1,6 @@
-/// Callers that open their flows anew after all instances were off: one
-/// instance, a few targets with slots and a queue, callers that repeat SYNs and
-/// try again.
+/// Simulates a thundering herd: callers reopen their flows after all instances
+/// were down. One instance, a few targets with slots and a queue, callers that
+/// retransmit SYNs and retry.
 #pragma once
 
 #include <chrono>
@@ -10,28 +10,28 @@
 #include <vector>
 
 #include "core/fleet/jitter.h"
-#include "core/steering/admission.h"
+#include "core/steering/admission_control.h"
 #include "core/steering/modelled_target.h"
 #include "core/steering/steering_scene.h"
 
 namespace sassafrasdyke::core {
 
-/// What the callers of a stretch got.
+/// Results of the callers of a period.
 struct HerdOutcome {
   int in_time{0};  ///< Answered within the objective.
   int late{0};     ///< Answered within the deadline.
   int failed{0};
-  int shed{0};  ///< Requests that a full target turned away; they try again.
+  int shed{0};  ///< Requests that a full target rejected; their callers retry.
 };
 
-/// Plays the time after the outage, a millisecond at a time.
+/// Simulates the time after the outage in steps of a millisecond.
 class ReopeningHerd {
  public:
-  /// `holds_back`: whether the instance uses its admission.
+  /// `holds_back`: whether the instance uses admission control.
   explicit ReopeningHerd(bool holds_back);
 
-  /// Callers want something every 5 ms during the outage of 1.2 s and for a
-  /// second and a half after it. The result is of those after it.
+  /// A caller makes a request every 5 ms during the outage of 1.2 s and for 1.5
+  /// s after it. The outcome counts only those after it.
   HerdOutcome Play();
 
  private:
@@ -59,7 +59,7 @@
 
   const bool holds_back;
   SteeringScene scene;
-  Admission admission;
+  AdmissionControl admission;
   Jitter random;
   std::vector<Caller> callers;
   std::map<std::uint16_t, std::size_t> by_port;
--- a/tests/core/steering/steady_load.cc
+++ b/tests/core/steering/steady_load.cc
@@ -21,8 +21,8 @@
   return kFirstWord + static_cast<std::uint32_t>(number);
 }
 
-void Tell(SteeringScene& scene, std::size_t number, const std::string& state,
-          Time now) {
+void PublishTo(SteeringScene& scene, std::size_t number,
+               const std::string& state, Time now) {
   char name[16];
   std::snprintf(name, sizeof(name), "%x", WordOfTarget(number));
   const std::string address = "10.0.0." + std::to_string(number + 1) + ":80";
@@ -48,7 +48,7 @@
   this->instances[instance] = std::make_unique<SteeringScene>();
   this->instances[instance]->Configure("1 198.18.0.1:443=diary", now);
   for (const auto& [number, state] : this->published) {
-    Tell(*this->instances[instance], number, state, now);
+    PublishTo(*this->instances[instance], number, state, now);
   }
 }
 
@@ -56,11 +56,11 @@
                                Time now) {
   this->published[number] = state;
   for (const auto& instance : this->instances) {
-    Tell(*instance, number, state, now);
+    PublishTo(*instance, number, state, now);
   }
 }
 
-void SteadyLoad::Change(Time now) {
+void SteadyLoad::ApplyPlan(Time now) {
   if (!this->plan.joins_at || now < *this->plan.joins_at) {
     return;
   }
@@ -82,7 +82,7 @@
 
 LoadOutcome SteadyLoad::Play() {
   for (Time now = 0ms; now < this->plan.length + kLastAnswers; now += 1ms) {
-    this->Change(now);
+    this->ApplyPlan(now);
     if (now < this->plan.length && now % this->plan.wants_every == 0ms) {
       ++this->outcome.asked;
       this->callers.push_back({now, 0, 0, 0, 0});
--- a/tests/core/steering/steady_load.h
+++ b/tests/core/steering/steady_load.h
@@ -1,6 +1,6 @@
-/// Callers that open a flow for each request at a steady rate, before targets
-/// with slots and a queue: several instances of one failure domain, each of
-/// which knows its own flows only.
+/// Simulates callers that open a flow for each request at a steady rate, and
+/// targets with slots and a queue. Several instances of one failure domain,
+/// each of which knows only its own flows.
 #pragma once
 
 #include <chrono>
@@ -17,7 +17,7 @@
 
 namespace sassafrasdyke::core {
 
-/// What is played. Targets are numbered from 0.
+/// Parameters of a simulation. Targets are numbered from 0.
 struct LoadPlan {
   std::size_t instances{3};
   std::size_t targets{5};
@@ -28,8 +28,8 @@
   std::int64_t slow_factor{1};
   std::chrono::milliseconds slow_from{0};
   std::chrono::milliseconds slow_for{0};
-  /// When the last targets are published, `joining` of them, one every 200 ms;
-  /// before that they aren't there.
+  /// When the last `joining` targets start to join, one every 200 ms; they
+  /// aren't published before. Nothing: none joins.
   std::optional<std::chrono::milliseconds> joins_at;
   std::size_t joining{1};
   /// Whether as many of the first targets are published as leaving meanwhile.
@@ -38,17 +38,17 @@
   bool instances_restart{false};
 };
 
-/// What callers got.
+/// Results of the callers.
 struct LoadOutcome {
   int asked{0};
   int in_time{0};  ///< Answered within the objective.
   int late{0};
-  int shed{0};  ///< Turned away by a full target; the caller tries once more.
+  int shed{0};  ///< Rejected by a full target; the caller retries once.
   /// Flows placed at each target in the half second after the first joined.
   std::vector<int> placed_after_join;
 };
 
-/// Plays a plan, a millisecond at a time.
+/// Simulates a plan in steps of a millisecond.
 class SteadyLoad {
  public:
   explicit SteadyLoad(const LoadPlan& plan);
@@ -65,8 +65,8 @@
     unsigned tries{0};
   };
 
-  /// What the plan has for this moment.
-  void Change(Time now);
+  /// Applies the changes that the plan has for `now`.
+  void ApplyPlan(Time now);
   void PublishTarget(std::size_t number, const std::string& state, Time now);
   void StartInstance(std::size_t instance, Time now);
   void Open(std::size_t id, Time now);
--- a/tests/core/steering/steady_load_test.cc
+++ b/tests/core/steering/steady_load_test.cc
@@ -1,4 +1,5 @@
-/// What callers get while targets come, or turn slow, under a steady load.
+/// How callers are served while targets join or become slow under a steady
+/// load.
 #include "core/steering/steady_load.h"
 
 #include <boost/test/data/monomorphic.hpp>
@@ -12,7 +13,7 @@
 
 using namespace std::chrono_literals;
 
-/// The ways in which a target comes to take new flows.
+/// Why a target starts to take new flows.
 enum class Arrival { kNew, kSuspected, kDrainWithdrawn, kLapsed };
 
 struct ArrivalRow {
@@ -44,7 +45,7 @@
       return;
     case Arrival::kSuspected:
       for (int misses = 0; misses < 6; ++misses) {
-        scene.steering.Watch().OnMissed(scene.IndexOf(0xA1), at);
+        scene.steering.Watch().OnSynUnanswered(scene.IndexOf(0xA1), at);
       }
       return;
     case Arrival::kDrainWithdrawn:
@@ -71,11 +72,10 @@
   return word;
 }
 
-// A target joins, or comes back after some seconds in which it took no new
-// flows. Were it given every new flow until it has had as many as the others,
-// its queue would fill, and callers would wait there or be turned away while
-// its neighbours idle.
-BOOST_DATA_TEST_CASE(a_target_that_comes_gets_its_share_and_no_more, kArrivals,
+// A target joins, or returns after some seconds without new flows. If it got
+// every new flow until it has had as many as the others, its queue would fill,
+// and callers would wait there or be shed while other targets idle.
+BOOST_DATA_TEST_CASE(a_joining_target_gets_only_its_fair_share, kArrivals,
                      row) {
   SteeringScene scene;
   scene.Configure("1 198.18.0.1:443=diary", 0ms);
@@ -130,11 +130,11 @@
     {"half are replaced while instances restart", 3, 15, 5ms, 5, true, true},
 };
 
-// Targets join at a third to a half of what all can do. Sent every new flow by
-// all instances at once, a newcomer turns callers away while its neighbours
-// idle. Instances that restart meanwhile know nobody's past, and must not make
-// it worse.
-BOOST_DATA_TEST_CASE(joining_targets_turn_nobody_away, kJoins, row) {
+// Targets join at a third to a half of the total capacity. If all instances
+// sent every new flow to a newcomer, it would shed requests while other targets
+// idle. Instances that restart meanwhile know no target's history, and must not
+// make it worse.
+BOOST_DATA_TEST_CASE(joining_targets_shed_no_requests, kJoins, row) {
   LoadPlan plan;
   plan.instances = row.instances;
   plan.targets = row.targets;
@@ -156,9 +156,9 @@
              2 * fair + static_cast<double>(row.instances));
 }
 
-// Nothing happens but that work varies. Were each long answer held against its
-// target, its flows would swing to the others and back.
-BOOST_AUTO_TEST_CASE(answers_that_vary_swing_nothing) {
+// Guards against oscillation: work varies, and if each long answer counted
+// against its target, its flows would move to the others and back.
+BOOST_AUTO_TEST_CASE(varying_answer_times_cause_no_oscillation) {
   LoadPlan plan;
   plan.joins_at = 5s;
   plan.joining = 0;
@@ -185,10 +185,9 @@
 const SlowRow kSlow[] = {{4, 5ms}, {4, 7ms}, {8, 5ms}};
 
 // One of five targets takes several times as long for five seconds; the others
-// could do all of its work. Given a fifth of the flows all the same, it gets
-// far more than it can do, and nearly all of these come late or are turned
-// away.
-BOOST_DATA_TEST_CASE(a_slow_target_keeps_few_callers_waiting, kSlow, row) {
+// could take over all of its work. If it still got a fifth of the flows, nearly
+// all of them would be late or shed.
+BOOST_DATA_TEST_CASE(a_slow_target_makes_few_callers_late, kSlow, row) {
   LoadPlan plan;
   plan.wants_every = row.wants_every;
   plan.slow_factor = row.factor;
--- a/tests/core/steering/steering_scene.h
+++ b/tests/core/steering/steering_scene.h
@@ -1,4 +1,4 @@
-/// A small world for tests of the steering: two failure domains, one service.
+/// Fixture for tests of FlowSteering: an instance with its view.
 #pragma once
 
 #include <string>
@@ -59,7 +59,8 @@
     return packet;
   }
 
-  /// The word of the target that the packet went to; 0 if it went to none.
+  /// The word of the target that the packet was sent to; 0 if it was sent to
+  /// none.
   std::uint32_t WordOf(const SteeringAction& action) {
     const auto* sent = std::get_if<SendToTarget>(&action);
     return sent == nullptr ? 0
@@ -75,12 +76,12 @@
   FlowSteering steering;
 };
 
-/// The word of what was decided, for comparing in tables.
+/// Name of the decision's reason, for comparing in tables.
 inline std::string_view WordOf(const SteeringAction& action) {
   if (const auto* refused = std::get_if<Refuse>(&action)) {
     return Word(refused->reason);
   }
-  if (const auto* silent = std::get_if<StaySilent>(&action)) {
+  if (const auto* silent = std::get_if<SilentDrop>(&action)) {
     return Word(silent->reason);
   }
   return Word(std::get<SendToTarget>(action).reason);
--- a/tests/core/steering/held_openings_test.cc
+++ b/tests/core/steering/syn_queue_test.cc
@@ -1,5 +1,5 @@
-/// The order in which SYNs that wait are sent on, and when they are dropped.
-#include "core/steering/held_openings.h"
+/// The order in which queued SYNs are taken, and when they are dropped.
+#include "core/steering/syn_queue.h"
 
 #include <boost/test/data/monomorphic.hpp>
 #include <boost/test/data/test_case.hpp>
@@ -13,24 +13,24 @@
 
 using namespace std::chrono_literals;
 
-/// One SYN that comes and waits.
-struct Coming {
+/// One SYN that arrives and is queued.
+struct ArrivingSyn {
   std::uint16_t port;
   std::uint32_t repeats;
   std::chrono::milliseconds at;
 };
 
-struct Queue {
+struct QueueOrder {
   std::string name;
-  std::vector<Coming> coming;
+  std::vector<ArrivingSyn> arriving;
   std::vector<std::uint16_t> order;  ///< At 50 ms, with 100 ms in time.
 };
 
-std::ostream& operator<<(std::ostream& out, const Queue& row) {
+std::ostream& operator<<(std::ostream& out, const QueueOrder& row) {
   return out << row.name;
 }
 
-const Queue kQueues[] = {
+const QueueOrder kQueueOrders[] = {
     {"in time: newest first",
      {{1, 0, 0ms}, {2, 0, 10ms}, {3, 0, 20ms}},
      {3, 2, 1}},
@@ -39,20 +39,20 @@
     {"a copy takes the place of the first", {{1, 0, 0ms}, {1, 1, 40ms}}, {1}},
 };
 
-BOOST_DATA_TEST_CASE(who_can_be_in_time_goes_first, kQueues, row) {
-  HeldOpenings held;
-  for (const Coming& syn : row.coming) {
-    held.Hold(SteeringScene::Syn(syn.port, syn.repeats), {}, syn.at);
+BOOST_DATA_TEST_CASE(syns_still_in_time_are_taken_first, kQueueOrders, row) {
+  SynQueue queue;
+  for (const ArrivingSyn& syn : row.arriving) {
+    queue.Hold(SteeringScene::Syn(syn.port, syn.repeats), {}, syn.at);
   }
 
   std::vector<std::uint16_t> order;
   const common::Endpoint route = SteeringScene::Packet(1).flow.service;
-  while (const auto next = held.Take(route, 100ms, 50ms)) {
+  while (const auto next = queue.Take(route, 100ms, 50ms)) {
     order.push_back(next->flow.caller.port);
   }
 
   BOOST_TEST(order == row.order, boost::test_tools::per_element());
-  BOOST_TEST(held.Size() == 0U);
+  BOOST_TEST(queue.Size() == 0U);
 }
 
 struct Copy {
@@ -66,41 +66,41 @@
 
 const Copy kCopies[] = {{0, 180ms}, {1, 380ms}, {2, 780ms}, {7, 780ms}};
 
-// A client sends copies of its SYN after 200 and 600 ms, and they may reach
-// other instances. The one that waits here is dropped before its next copy is
-// sent, so that never two of them travel to different targets.
+// A client retransmits its SYN after 200 and 600 ms, perhaps to other
+// instances. The queued one is dropped before the next copy is sent, so that no
+// two of them go to different targets.
 BOOST_DATA_TEST_CASE(a_syn_is_dropped_before_its_next_copy, kCopies, row) {
-  HeldOpenings held;
-  held.Hold(SteeringScene::Syn(1, row.repeats), {}, 1000ms);
+  SynQueue queue;
+  queue.Hold(SteeringScene::Syn(1, row.repeats), {}, 1000ms);
 
-  BOOST_TEST(held.Expire(1000ms + row.dropped_after - 1ms) == 0U);
-  BOOST_TEST(held.Expire(1000ms + row.dropped_after) == 1U);
-  BOOST_TEST(held.Size() == 0U);
+  BOOST_TEST(queue.Expire(1000ms + row.dropped_after - 1ms) == 0U);
+  BOOST_TEST(queue.Expire(1000ms + row.dropped_after) == 1U);
+  BOOST_TEST(queue.Size() == 0U);
 }
 
-// A SYN whose copy is due is not sent on, also when nobody has looked at the
-// clock in between.
+// A SYN whose next copy is due is not forwarded, even if Expire has not run in
+// between.
 BOOST_AUTO_TEST_CASE(a_superseded_syn_is_not_taken) {
-  HeldOpenings held;
-  held.Hold(SteeringScene::Syn(1), {}, 0ms);
-  held.Hold(SteeringScene::Syn(2), {}, 150ms);
+  SynQueue queue;
+  queue.Hold(SteeringScene::Syn(1), {}, 0ms);
+  queue.Hold(SteeringScene::Syn(2), {}, 150ms);
 
   const common::Endpoint route = SteeringScene::Packet(1).flow.service;
-  const auto taken = held.Take(route, 0ms, 200ms);
+  const auto taken = queue.Take(route, 0ms, 200ms);
 
   BOOST_REQUIRE(taken.has_value());
   BOOST_TEST(taken->flow.caller.port == 2U);
 }
 
-// A flood of SYNs must not take the memory of those who are served.
-BOOST_AUTO_TEST_CASE(a_flood_is_bounded) {
-  HeldOpenings held;
+// Guards against a SYN flood that exhausts memory.
+BOOST_AUTO_TEST_CASE(the_syn_queue_is_bounded) {
+  SynQueue queue;
   std::uint16_t port = 1;
-  while (held.Hold(SteeringScene::Syn(port), {}, 0ms)) {
+  while (queue.Hold(SteeringScene::Syn(port), {}, 0ms)) {
     ++port;
     BOOST_REQUIRE(port < 10'000);
   }
-  BOOST_TEST(held.Size() == 1024U);
+  BOOST_TEST(queue.Size() == 1024U);
 }
 
 }  // namespace
--- a/tests/core/steering/target_choice_test.cc
+++ b/tests/core/steering/target_choice_test.cc
@@ -1,4 +1,4 @@
-/// How the load of new flows falls on targets.
+/// How new flows are distributed among targets.
 #include <algorithm>
 #include <boost/test/data/monomorphic.hpp>
 #include <boost/test/data/test_case.hpp>
@@ -17,13 +17,13 @@
 using namespace std::chrono_literals;
 
 /// Usable targets of the domains, in the order of kDomains.
-struct Left {
+struct UsableTargets {
   std::vector<int> targets;
   double busiest;  ///< Most flows at one target, to the mean.
   double local;    ///< Least part of a domain's flows that stay in it.
 };
 
-std::ostream& operator<<(std::ostream& out, const Left& row) {
+std::ostream& operator<<(std::ostream& out, const UsableTargets& row) {
   for (const int count : row.targets) {
     out << count << " ";
   }
@@ -32,13 +32,14 @@
 
 const std::string kDomains[] = {"north", "south", "west"};
 
-const Left kLeft[] = {
+const UsableTargets kUsableTargets[] = {
     {{5, 5, 4}, 1.20, 1.0}, {{2, 1, 1}, 1.40, 1.0}, {{1, 3, 3}, 1.30, 0.3},
     {{1, 5, 4}, 1.25, 0.2}, {{0, 4, 4}, 1.10, 0.0},
 };
 
 /// One instance for each domain, with the same view.
-std::vector<std::unique_ptr<SteeringScene>> Instances(const Left& row) {
+std::vector<std::unique_ptr<SteeringScene>> Instances(
+    const UsableTargets& row) {
   std::vector<std::unique_ptr<SteeringScene>> instances;
   for (const std::string& domain : kDomains) {
     auto scene = std::make_unique<SteeringScene>(domain);
@@ -58,11 +59,12 @@
   return instances;
 }
 
-// Most targets of one failure domain die, and the clients of that domain open
-// their flows anew. All sent to the one target that is left, they fill its
-// queue, and it sheds requests while targets of other domains idle. Clients of
-// a domain that has its share of targets stay in it.
-BOOST_DATA_TEST_CASE(a_domain_with_few_targets_shares_its_load, kLeft, row) {
+// Most targets of one failure domain crash, and the clients of that domain
+// reopen their flows. If all were sent to the one target that is left, it would
+// shed requests while targets of other domains idle. Clients of a domain that
+// has its share of targets stay in it.
+BOOST_DATA_TEST_CASE(a_domain_with_few_targets_spills_its_load, kUsableTargets,
+                     row) {
   constexpr std::uint16_t kFlows = 2000;
   const auto instances = Instances(row);
   std::map<std::uint32_t, int> flows;
@@ -93,23 +95,23 @@
   BOOST_TEST(least_local >= row.local);
 }
 
-struct Calm {
+struct WorkRow {
   std::string name;
   std::chrono::milliseconds work;
   int least_local;  ///< Of 100 flows.
   int most_local;
 };
 
-std::ostream& operator<<(std::ostream& out, const Calm& row) {
+std::ostream& operator<<(std::ostream& out, const WorkRow& row) {
   return out << row.name;
 }
 
-const Calm kCalm[] = {{"idle targets", 2ms, 95, 100},
-                      {"busy targets", 200ms, 10, 40}};
+const WorkRow kWorkRows[] = {{"idle targets", 2ms, 95, 100},
+                             {"busy targets", 200ms, 10, 40}};
 
-// Guards against flows that take a longer way than they have work, though the
-// few targets of their own domain idle: each would come late for nothing.
-BOOST_DATA_TEST_CASE(few_idle_targets_keep_their_flows, kCalm, row) {
+// Guards against flows that spill for more network time than their work takes,
+// though the few targets of their own domain idle.
+BOOST_DATA_TEST_CASE(few_idle_targets_keep_their_flows, kWorkRows, row) {
   constexpr auto kNearWay = 26ms;
   constexpr auto kFarWay = 34ms;
   constexpr int kFlows = 100;
--- a/tests/front/flow_story_test.cc
+++ b/tests/front/flow_story_test.cc
@@ -117,7 +117,7 @@
 }
 
 using core::RefusalReason;
-using core::SilenceReason;
+using core::SilentDropReason;
 using core::SteeringReason;
 
 const Decision kDecisions[] = {
@@ -132,12 +132,12 @@
     {"refused", Word(RefusalReason::kNoTarget)},
     {"refused", Word(RefusalReason::kTargetGone)},
     {"refused", Word(RefusalReason::kTargetSilent)},
-    {"dropped", Word(SilenceReason::kNoView)},
-    {"dropped", Word(SilenceReason::kStaleView)},
-    {"dropped", Word(SilenceReason::kUnknownTarget)},
-    {"dropped", Word(SilenceReason::kOtherService)},
-    {"dropped", Word(SilenceReason::kOutdated)},
-    {"dropped", Word(SilenceReason::kNotAClients)},
+    {"dropped", Word(SilentDropReason::kNoView)},
+    {"dropped", Word(SilentDropReason::kStaleView)},
+    {"dropped", Word(SilentDropReason::kUnknownTarget)},
+    {"dropped", Word(SilentDropReason::kOtherService)},
+    {"dropped", Word(SilentDropReason::kOutdated)},
+    {"dropped", Word(SilentDropReason::kNotFromClient)},
 };
 
 // A decision whose reason the story doesn't know would leave whoever is on call
--- a/tests/front/front_log_test.cc
+++ b/tests/front/front_log_test.cc
@@ -63,7 +63,7 @@
 struct Reset {
   core::RefusalReason reason;
   core::TargetEntry entry;
-  core::SignsOfLife signs;
+  core::LivenessEvidence signs;
   /// The line's fields that name the evidence.
   Json evidence;
 };
