--- a/source/core/roster/copy_pull.cc
+++ b/source/core/roster/copy_pull.cc
@@ -5,12 +5,12 @@
 
 /// Consecutive redirects to follow. Prevents endless redirects among busy
 /// instances.
-constexpr unsigned kMostRedirects = 4;
+constexpr unsigned kMaxRedirects = 4;
 /// Refusals by one source before the copy is abandoned. A source serves three
 /// copies at a time, each in about 0.1 s on a 20 Mbit/s link. As instances that
 /// have received a copy serve it too, a failure domain of 116 instances is
 /// supplied in half this many ticks.
-constexpr unsigned kMostRefusals = 10;
+constexpr unsigned kMaxRefusals = 10;
 
 }  // namespace
 
@@ -25,7 +25,7 @@
 std::optional<common::Endpoint> CopyPull::FollowRedirect(
     const std::optional<common::Endpoint>& instead) {
   const bool follow =
-      instead && *instead != this->self && this->redirects < kMostRedirects;
+      instead && *instead != this->self && this->redirects < kMaxRedirects;
   this->redirects = follow ? this->redirects + 1 : 0;
   this->running = follow;
   return follow ? instead : std::nullopt;
@@ -43,7 +43,7 @@
 std::optional<common::Endpoint> CopyPull::OnRefused(
     const std::optional<common::Endpoint>& instead) {
   const auto next = this->FollowRedirect(instead);
-  if (!next && this->copy && ++this->copy->refusals > kMostRefusals) {
+  if (!next && this->copy && ++this->copy->refusals > kMaxRefusals) {
     this->copy.reset();
   }
   return next;
--- a/source/core/roster/copy_pull.h
+++ b/source/core/roster/copy_pull.h
@@ -30,7 +30,8 @@
   /// copy is still `Pending`, `Retry` asks the source again.
   std::optional<common::Endpoint> OnRefused(
       const std::optional<common::Endpoint>& instead);
-  /// Called ten times a second. `have`: the revision of the own view.
+  /// Repeats a refused request, unless the own view, at revision `have`, has
+  /// caught up meanwhile. Called ten times a second.
   std::optional<common::Endpoint> Retry(common::Revision have);
   /// The copy has arrived.
   void OnPulled();
--- a/source/core/roster/delta_parts.cc
+++ b/source/core/roster/delta_parts.cc
@@ -9,8 +9,8 @@
 namespace sassafrasdyke::core {
 namespace {
 
-/// Beyond, a copy is cheaper: its items are packed to a fifth.
-constexpr std::size_t kMostParts = 8;
+/// Above this a copy is cheaper: compression reduces its items to a fifth.
+constexpr std::size_t kMaxParts = 8;
 
 std::size_t SizeOf(const Item& item) {
   constexpr std::size_t kOverhead = 16;
@@ -25,9 +25,9 @@
   return size;
 }
 
-/// Moves the items of the lowest revision out of `items`, which are sorted with
-/// the lowest last. What a listing lacked is removed at one revision, and
-/// whoever has one of these changes must have them all.
+/// Moves the items of the lowest revision out of `items`, which are sorted by
+/// descending revision. All items that a listing lacks are removed at the same
+/// revision, so changes of one revision must stay in one part.
 std::vector<Item> TakeLowest(std::vector<Item>& items) {
   std::vector<Item> lowest;
   const common::Revision revision = items.back().revision;
@@ -46,7 +46,7 @@
     return {};
   }
   ItemDelta all = items.Since(have);
-  if (all.whole || SizeOf(all.items) > kMostParts * kMostInlineBytes) {
+  if (all.whole || SizeOf(all.items) > kMaxParts * kMaxInlineBytes) {
     return {};
   }
   std::ranges::sort(all.items, std::ranges::greater{}, &Item::revision);
@@ -55,10 +55,10 @@
   while (!all.items.empty()) {
     std::vector<Item> next = TakeLowest(all.items);
     const std::size_t next_size = SizeOf(next);
-    if (next_size > kMostInlineBytes) {
+    if (next_size > kMaxInlineBytes) {
       return {};
     }
-    if (size + next_size > kMostInlineBytes) {
+    if (size + next_size > kMaxInlineBytes) {
       const common::Revision cut = parts.back().items.back().revision;
       parts.back().to = cut;
       parts.push_back({cut, all.to, false, {}});
--- a/source/core/roster/delta_parts.h
+++ b/source/core/roster/delta_parts.h
@@ -1,9 +1,9 @@
-/// Changes cut into parts that each fit into one digest.
+/// Splits changes into parts that each fit into one digest.
 ///
-/// While many targets come and go, the changes of a second don't fit into one.
-/// Taken as copies they would cost each member of a large failure domain a
-/// connection and a round trip every second, all from the one that told them,
-/// and on a small link its clients' packets would wait behind the copies.
+/// While many targets start and stop, the changes of one second don't fit into
+/// one digest. As copies, they would cost each member of a large failure domain
+/// a connection and a round trip every second, all to the same sender. On a
+/// slow link the packets of the sender's clients would queue behind the copies.
 #pragma once
 
 #include <vector>
@@ -12,9 +12,10 @@
 
 namespace sassafrasdyke::core {
 
-/// The changes after `have`, in parts that follow each other. Nothing when
-/// there are none, or when they have to be taken as a copy: because too much
-/// was forgotten, one of them is too large, or they are too many.
+/// The changes after `have`, in consecutive parts. Empty if there are none, or
+/// if they must be fetched as a copy: because removal marks after `have` have
+/// been dropped, the changes of one revision exceed a part, or there are too
+/// many.
 std::vector<ItemDelta> PartsSince(const ItemStore& items,
                                   common::Revision have);
 
--- a/source/core/roster/peer_digest.h
+++ b/source/core/roster/peer_digest.h
@@ -1,5 +1,6 @@
-/// What instances tell each other, as values. A digest is one small datagram;
-/// it may be lost, repeated or late, so everything in it is idempotent.
+/// The content of digests: the small datagrams by which instances exchange
+/// membership and views. A digest may be lost, duplicated or delayed, so
+/// applying one is idempotent.
 #pragma once
 
 #include <chrono>
@@ -15,40 +16,42 @@
 
 namespace sassafrasdyke::core {
 
-/// An instance that the sender knows of.
+/// Gossip about another instance.
 struct PeerMention {
   common::Endpoint peer;
   std::string domain;
-  std::chrono::milliseconds heard_ago{0};
+  std::chrono::milliseconds heard_ago{0};  ///< Since its last sign of life.
 };
 
-/// How far a view is, and how old.
-struct ViewMark {
-  common::Revision complete;  ///< 0: the sender has no view.
-  /// Since the store last confirmed it to anyone; nothing if it never did.
+/// The revision and age of a view.
+struct ViewStatus {
+  /// The revision up to which the view has every change; 0: there is no view.
+  common::Revision complete;
+  /// Time since the store last confirmed the revision to any instance; nothing
+  /// if it never did.
   std::optional<std::chrono::milliseconds> age;
-  /// Since the store was seen to return; nothing if it was never seen away.
+  /// Time since the end of the store's last outage; nothing if none was seen.
   std::optional<std::chrono::milliseconds> store_returned_ago;
 };
 
-/// Changes that travel inside a digest, in bytes of keys and values. Together
-/// with all else that a digest may carry it stays under the 1,400 bytes that
-/// every link carries whole.
-inline constexpr std::size_t kMostInlineBytes = 800;
+/// Limit of the changes inside a digest, in bytes of keys and values. Together
+/// with the other fields the digest stays below 1,400 bytes, which every link
+/// carries without fragmentation.
+inline constexpr std::size_t kMaxInlineBytes = 800;
 
-/// One instance's word.
+/// A digest as sent by one instance to another.
 struct PeerDigest {
   common::Endpoint sender;
   std::string domain;
-  bool leaving{false};       ///< The sender is being stopped.
-  bool wants_answer{false};  ///< The sender asks for the receiver's digest.
-  ViewMark view;
-  /// Changes that bring a view that is complete to `from` up to the sender's,
-  /// when they fit into the datagram.
+  bool leaving{false};       ///< The sender is shutting down.
+  bool wants_answer{false};  ///< The receiver must reply with its digest.
+  ViewStatus view;
+  /// Changes for receivers whose views are complete up to `changes->from`, if
+  /// they fit into the datagram.
   std::optional<ItemDelta> changes;
-  std::vector<PeerMention> known;
-  /// Members that the receiver shall tell of the sender's view.
-  std::vector<common::Endpoint> pass_on;
+  std::vector<PeerMention> known;  ///< Some of the members the sender knows.
+  /// Members to which the receiver must relay the sender's view.
+  std::vector<common::Endpoint> relay_to;
 };
 
 }  // namespace sassafrasdyke::core
--- a/source/core/roster/peer_sync.cc
+++ b/source/core/roster/peer_sync.cc
@@ -11,15 +11,16 @@
 namespace sassafrasdyke::core {
 namespace {
 
-/// Members that a digest mentions: with two digests a second each, a domain of
-/// 116 hears of every member within some six seconds.
-constexpr std::size_t kMentions = 6;
-/// Members that a reader tells itself. Beyond, a relay that dies leaves some
-/// without its news until the other reader's arrives; 32 digests are 7 kB.
-constexpr std::size_t kToldDirectly = 32;
-/// Members that one relay may be asked to tell; more than any domain needs, and
-/// few enough that a forged digest makes nobody send much.
-constexpr std::size_t kMostPassedOn = 32;
+/// Members mentioned in a digest. If each instance sends two digests a second,
+/// every member of a domain of 116 becomes known to all within about 6 s.
+constexpr std::size_t kMaxMentions = 6;
+/// Up to this many followers a reader notifies all of them itself; 32 digests
+/// are 7 kB. Beyond, it uses relays. If a relay dies, the members behind it get
+/// the change only with the other reader's digests.
+constexpr std::size_t kMaxNotifiedDirectly = 32;
+/// Members that one relay may be asked to notify. More than any domain needs,
+/// and few enough to limit the amplification of a forged digest.
+constexpr std::size_t kMaxRelayReceivers = 32;
 
 void Append(SyncActions& actions, SyncActions more) {
   std::ranges::move(more.digests, std::back_inserter(actions.digests));
@@ -27,13 +28,14 @@
 
 }  // namespace
 
-ViewMark PeerSync::Mark(std::chrono::milliseconds now) const {
+ViewStatus PeerSync::Status(std::chrono::milliseconds now) const {
   const StoreContact& contact = this->view.Contact();
-  ViewMark mark{this->view.Items().Complete(), contact.Age(now), std::nullopt};
+  ViewStatus status{this->view.Items().Complete(), contact.Age(now),
+                    std::nullopt};
   if (const auto returned = contact.ReturnedAt()) {
-    mark.store_returned_ago = now - *returned;
+    status.store_returned_ago = now - *returned;
   }
-  return mark;
+  return status;
 }
 
 PeerDigest PeerSync::MakeDigest(const common::Endpoint& receiver,
@@ -42,17 +44,17 @@
   digest.sender = this->roster.Self().address;
   digest.domain = this->roster.Self().domain;
   digest.leaving = this->leaving;
-  digest.view = this->Mark(now);
-  digest.known = this->roster.Mention(receiver, this->limits.readers, kMentions,
-                                      this->jitter, now);
+  digest.view = this->Status(now);
+  digest.known = this->roster.SelectMentions(receiver, this->limits.readers,
+                                             kMaxMentions, this->jitter, now);
   return digest;
 }
 
-DigestOut PeerSync::MakeQuestion(const common::Endpoint& receiver,
-                                 std::chrono::milliseconds now) {
-  DigestOut question{receiver, this->MakeDigest(receiver, now)};
-  question.digest.wants_answer = true;
-  return question;
+DigestOut PeerSync::MakeQuery(const common::Endpoint& receiver,
+                              std::chrono::milliseconds now) {
+  DigestOut query{receiver, this->MakeDigest(receiver, now)};
+  query.digest.wants_answer = true;
+  return query;
 }
 
 bool PeerSync::IsReader(std::chrono::milliseconds now) const {
@@ -85,7 +87,7 @@
     const std::optional<common::Endpoint>& instead) {
   SyncActions actions;
   actions.pull = this->pull.OnFailed(instead);
-  this->ClearOwedUnlessPulling();
+  this->ClearRelayUnlessPulling();
   return actions;
 }
 
@@ -93,51 +95,51 @@
     const std::optional<common::Endpoint>& instead) {
   SyncActions actions;
   actions.pull = this->pull.OnRefused(instead);
-  this->ClearOwedUnlessPulling();
+  this->ClearRelayUnlessPulling();
   return actions;
 }
 
-void PeerSync::ClearOwedUnlessPulling() {
-  // What was to be passed on isn't here. Its receivers hear of it from others
-  // or ask when their views get old.
+void PeerSync::ClearRelayUnlessPulling() {
+  // The changes to relay won't arrive. Their receivers get them from others, or
+  // query peers once their views are too old.
   if (!this->pull.Pending()) {
-    this->owed.clear();
+    this->relay_queue.clear();
   }
 }
 
 bool PeerSync::NeedsPeers(std::chrono::milliseconds now) const {
-  if (now < this->limits.patience) {
+  if (now < this->limits.first_query_after) {
     return false;
   }
   const auto age = this->view.Contact().Age(now);
   const bool store_fails =
-      this->ShouldRead(now) && !this->view.Contact().Answers();
-  return !age || *age > this->limits.ask_after || store_fails;
+      this->ShouldRead(now) && !this->view.Contact().LastCallServed();
+  return !age || *age > this->limits.query_after || store_fails;
 }
 
 SyncActions PeerSync::OnStart(std::chrono::milliseconds now) {
-  return this->AskSeeds(now);
+  return this->QuerySeeds(now);
 }
 
-SyncActions PeerSync::AskSeeds(std::chrono::milliseconds now) {
+SyncActions PeerSync::QuerySeeds(std::chrono::milliseconds now) {
   SyncActions actions;
   for (const common::Endpoint& seed : this->roster.Seeds()) {
-    actions.digests.push_back(this->MakeQuestion(seed, now));
+    actions.digests.push_back(this->MakeQuery(seed, now));
   }
   return actions;
 }
 
-SyncActions PeerSync::AskReaders(std::chrono::milliseconds now) {
-  // Bounds the questions while new members change who the readers are.
-  constexpr std::size_t kMostAsked = 16;
+SyncActions PeerSync::QueryReaders(std::chrono::milliseconds now) {
+  // Limits the queries while the set of readers changes with new members.
+  constexpr std::size_t kMaxQueries = 16;
   SyncActions actions;
   for (const common::Endpoint& reader :
        this->roster.Readers(this->limits.readers, now)) {
-    const bool asked = std::ranges::find(this->asked_readers, reader) !=
-                       this->asked_readers.end();
-    if (!asked && this->asked_readers.size() < kMostAsked) {
-      this->asked_readers.push_back(reader);
-      actions.digests.push_back(this->MakeQuestion(reader, now));
+    const bool queried = std::ranges::find(this->queried_readers, reader) !=
+                         this->queried_readers.end();
+    if (!queried && this->queried_readers.size() < kMaxQueries) {
+      this->queried_readers.push_back(reader);
+      actions.digests.push_back(this->MakeQuery(reader, now));
     }
   }
   return actions;
@@ -147,54 +149,58 @@
   this->roster.Expire(now);
   this->plan.OnTick(this->view.Contact().Age(now), this->roster.DomainSize(now),
                     now);
-  const bool asks = this->NeedsPeers(now);
-  std::chrono::milliseconds& last = asks ? this->asked_at : this->greeted_at;
-  std::chrono::milliseconds pause =
-      asks ? this->limits.ask_every : this->limits.greet_every;
+  const bool needs_peers = this->NeedsPeers(now);
+  std::chrono::milliseconds& last_sent_at =
+      needs_peers ? this->last_query_at : this->last_heartbeat_at;
+  std::chrono::milliseconds interval = needs_peers
+                                           ? this->limits.query_interval
+                                           : this->limits.heartbeat_interval;
   if (!this->view.Usable()) {
-    pause = this->limits.ask_without_view_every;
+    interval = this->limits.query_interval_without_view;
   }
   SyncActions actions;
   actions.pull = this->pull.Retry(this->view.Items().Complete());
   if (!this->plan.HasHeardPeers() && !this->view.Usable()) {
-    // Seeds that weren't up yet have missed the digests sent at the start.
-    Append(actions, this->AskSeeds(now));
+    // Seeds that started later have missed the digests sent by OnStart().
+    Append(actions, this->QuerySeeds(now));
     return actions;
   }
-  if (now - last < pause) {
+  if (now - last_sent_at < interval) {
     return actions;
   }
-  last = now;
+  last_sent_at = now;
   for (const common::Endpoint& peer :
-       this->roster.Pick(this->limits.readers, this->jitter, now)) {
+       this->roster.PickReceivers(this->limits.readers, this->jitter, now)) {
     PeerDigest digest = this->MakeDigest(peer, now);
-    digest.wants_answer = asks;
+    digest.wants_answer = needs_peers;
     actions.digests.push_back({peer, std::move(digest)});
   }
   return actions;
 }
 
-void PeerSync::TakeMark(const ViewMark& mark, std::chrono::milliseconds now) {
+void PeerSync::RecordStoreReturn(const ViewStatus& status,
+                                 std::chrono::milliseconds now) {
   StoreContact& contact = this->view.Contact();
-  // Before any change is taken: a removal that the store's absence caused must
-  // be known as one.
-  if (mark.store_returned_ago) {
-    contact.OnReturn(now - *mark.store_returned_ago);
+  // Callers apply changes only after this: removals after an outage of the
+  // store may be expired entries of live targets, and must be recognized as
+  // such.
+  if (status.store_returned_ago) {
+    contact.OnReturn(now - *status.store_returned_ago);
   }
 }
 
 // Readers retry the store several times a second and ask their peers, so an old
 // view of a reader means that neither it nor its peers can reach the store.
-void PeerSync::NoteStoreAbsence(const PeerDigest& digest,
-                                std::chrono::milliseconds now) {
+void PeerSync::DetectStoreOutage(const PeerDigest& digest,
+                                 std::chrono::milliseconds now) {
   if (!digest.view.age || *digest.view.age <= this->limits.read_after) {
     return;
   }
   const std::vector<common::Endpoint> readers =
       this->roster.Readers(this->limits.readers, now);
   if (std::ranges::find(readers, digest.sender) != readers.end()) {
-    this->view.Contact().OnAbsence();
-    this->plan.OnStoreAbsence(this->roster.DomainSize(now), now);
+    this->view.Contact().OnStoreUnreachable();
+    this->plan.OnStoreUnreachable(this->roster.DomainSize(now), now);
   }
 }
 
@@ -203,36 +209,38 @@
   const bool is_new = this->roster.OnDigest(digest, now);
   this->plan.OnDigest(now);
   const common::Revision before = this->view.Items().Complete();
-  this->Owe(digest, before);
+  this->QueueRelay(digest, before);
   SyncActions actions;
-  this->TakeMark(digest.view, now);
-  this->NoteStoreAbsence(digest, now);
+  this->RecordStoreReturn(digest.view, now);
+  this->DetectStoreOutage(digest, now);
   if (digest.changes) {
     this->view.OnPeerItems(*digest.changes, now);
   }
   const common::Revision have = this->view.Items().Complete();
   if (have > before && this->IsReader(now)) {
-    actions = this->TellFollowers(PartsSince(this->view.Items(), before), now);
+    actions =
+        this->NotifyFollowers(PartsSince(this->view.Items(), before), now);
   }
-  Append(actions, this->TellOwed(now));
+  Append(actions, this->SendRelay(now));
   if (digest.view.age && digest.view.complete >= have &&
       digest.view.complete.value != 0) {
     if (digest.view.complete == have) {
       this->view.Contact().OnConfirmed(now - *digest.view.age);
-    } else if (!this->pull.Running() && !this->view.Contact().Answers()) {
+    } else if (!this->pull.Running() &&
+               !this->view.Contact().LastCallServed()) {
       actions.pull = this->pull.Start(digest.sender, digest.view.complete, now);
     }
   }
   if (!this->view.Usable() && !this->pull.Pending()) {
-    Append(actions, this->AskReaders(now));
+    Append(actions, this->QueryReaders(now));
   }
-  // A newcomer is told at once: it may be new to everybody, and asks nobody
-  // else.
+  // A new member gets a digest at once: it may be unknown to all instances, and
+  // queries nobody else.
   if (digest.wants_answer) {
-    Append(
-        actions,
-        this->Tell(std::array{digest.sender},
-                   PartsSince(this->view.Items(), digest.view.complete), now));
+    Append(actions,
+           this->MakeDigests(
+               std::array{digest.sender},
+               PartsSince(this->view.Items(), digest.view.complete), now));
   } else if (is_new) {
     actions.digests.push_back(
         {digest.sender, this->MakeDigest(digest.sender, now)});
@@ -240,71 +248,75 @@
   return actions;
 }
 
-SyncActions PeerSync::OnStoreNews(common::Revision before,
+SyncActions PeerSync::OnStoreRead(common::Revision before,
                                   std::chrono::milliseconds now) {
-  const bool tells_followers =
+  const bool notify_followers =
       this->IsReader(now) || this->plan.IsSubstitute(now);
-  return this->OnNews(before, tells_followers, now);
+  return this->OnViewChanged(before, notify_followers, now);
 }
 
-SyncActions PeerSync::OnNews(common::Revision before, bool tells_followers,
-                             std::chrono::milliseconds now) {
+SyncActions PeerSync::OnViewChanged(common::Revision before,
+                                    bool notify_followers,
+                                    std::chrono::milliseconds now) {
   const std::vector<ItemDelta> changes = PartsSince(this->view.Items(), before);
   SyncActions actions =
-      tells_followers ? this->TellFollowers(changes, now) : SyncActions{};
-  Append(actions, this->TellOwed(now));
+      notify_followers ? this->NotifyFollowers(changes, now) : SyncActions{};
+  Append(actions, this->SendRelay(now));
   return actions;
 }
 
-SyncActions PeerSync::TellFollowers(std::span<const ItemDelta> changes,
-                                    std::chrono::milliseconds now) {
+SyncActions PeerSync::NotifyFollowers(std::span<const ItemDelta> changes,
+                                      std::chrono::milliseconds now) {
   const Followers followers =
       this->roster.FollowersOf(this->limits.readers, now);
-  if (followers.lively.size() + followers.quiet.size() <= kToldDirectly) {
-    SyncActions actions = this->Tell(followers.lively, changes, now);
-    Append(actions, this->Tell(followers.quiet, changes, now));
+  if (followers.recent.size() + followers.silent.size() <=
+      kMaxNotifiedDirectly) {
+    SyncActions actions = this->MakeDigests(followers.recent, changes, now);
+    Append(actions, this->MakeDigests(followers.silent, changes, now));
     return actions;
   }
-  return this->TellThroughRelays(followers, changes, now);
+  return this->NotifyThroughRelays(followers, changes, now);
 }
 
-// A reader that told each member of a large domain itself would spend bytes in
-// proportion to it: with 116 members and a few changes a second more than all
-// of its control may take, and on a link of 10 Mbit/s its clients' packets
-// would wait behind them. So it tells some, and each of those passes it on to a
-// few. The groups are drawn anew each time: a relay that has died costs its
-// group this one digest, and the other reader's comes through another relay.
-SyncActions PeerSync::TellThroughRelays(const Followers& followers,
-                                        std::span<const ItemDelta> changes,
-                                        std::chrono::milliseconds now) {
-  std::vector<common::Endpoint> members = followers.lively;
+// If a reader notified each member of a large domain itself, its traffic would
+// grow in proportion to the domain. With 116 members and a few changes a second
+// it would exceed the whole budget for control traffic, and on a 10 Mbit/s link
+// client packets would queue behind it. So the reader notifies some members,
+// its relays, and each of them notifies a few others. The groups are redrawn
+// for each change: a dead relay costs its group one digest, and the other
+// reader's digest takes another relay.
+SyncActions PeerSync::NotifyThroughRelays(const Followers& followers,
+                                          std::span<const ItemDelta> changes,
+                                          std::chrono::milliseconds now) {
+  std::vector<common::Endpoint> members = followers.recent;
   for (std::size_t i = members.size(); i > 1; --i) {
     std::swap(members[i - 1], members[this->jitter.Below(i)]);
   }
-  members.insert(members.end(), followers.quiet.begin(), followers.quiet.end());
-  // With as many relays as each has to tell, nobody sends more than the square
-  // root of the domain.
+  members.insert(members.end(), followers.silent.begin(),
+                 followers.silent.end());
+  // With about as many relays as members per relay, no instance notifies more
+  // members than the square root of the domain's size.
   const auto relays =
       static_cast<std::size_t>(std::sqrt(static_cast<double>(members.size())));
   SyncActions actions =
-      this->Tell(std::span(members).first(relays), changes, now);
+      this->MakeDigests(std::span(members).first(relays), changes, now);
   const std::size_t digests_each = actions.digests.size() / relays;
   for (std::size_t d = 0; d < actions.digests.size(); ++d) {
     PeerDigest& digest = actions.digests[d].digest;
-    digest.known.clear();  // Room for those who are to be told.
+    digest.known.clear();  // Makes room for `relay_to`.
     for (std::size_t i = relays + d / digests_each; i < members.size();
          i += relays) {
-      if (digest.pass_on.size() < kMostPassedOn) {
-        digest.pass_on.push_back(members[i]);
+      if (digest.relay_to.size() < kMaxRelayReceivers) {
+        digest.relay_to.push_back(members[i]);
       }
     }
   }
   return actions;
 }
 
-SyncActions PeerSync::Tell(std::span<const common::Endpoint> members,
-                           std::span<const ItemDelta> changes,
-                           std::chrono::milliseconds now) {
+SyncActions PeerSync::MakeDigests(std::span<const common::Endpoint> members,
+                                  std::span<const ItemDelta> changes,
+                                  std::chrono::milliseconds now) {
   SyncActions actions;
   for (const common::Endpoint& member : members) {
     if (changes.empty()) {
@@ -313,8 +325,8 @@
     for (const ItemDelta& part : changes) {
       PeerDigest digest = this->MakeDigest(member, now);
       if (part.to < digest.view.complete) {
-        // The rest follows. Without an age the receiver neither takes its view
-        // for confirmed nor asks for a copy of what is on its way.
+        // More parts follow. Without an age, the receiver neither treats its
+        // view as confirmed nor requests a copy of the remaining parts.
         digest.view.complete = part.to;
         digest.view.age.reset();
       }
@@ -325,47 +337,47 @@
   return actions;
 }
 
-void PeerSync::Owe(const PeerDigest& digest, common::Revision before) {
-  if (digest.pass_on.empty()) {
+void PeerSync::QueueRelay(const PeerDigest& digest, common::Revision before) {
+  if (digest.relay_to.empty()) {
     return;
   }
   const common::Revision base = digest.changes ? digest.changes->from : before;
-  if (this->owed.empty()) {
-    this->owed_base_revision = base;
-    this->owed_revision = digest.view.complete;
+  if (this->relay_queue.empty()) {
+    this->relay_base_revision = base;
+    this->relay_revision = digest.view.complete;
   } else {
-    this->owed_base_revision = std::min(this->owed_base_revision, base);
-    this->owed_revision = std::max(this->owed_revision, digest.view.complete);
+    this->relay_base_revision = std::min(this->relay_base_revision, base);
+    this->relay_revision = std::max(this->relay_revision, digest.view.complete);
   }
-  for (const common::Endpoint& member : digest.pass_on) {
+  for (const common::Endpoint& member : digest.relay_to) {
     const bool known =
-        std::ranges::find(this->owed, member) != this->owed.end();
-    if (!known && this->owed.size() < kMostPassedOn) {
-      this->owed.push_back(member);
+        std::ranges::find(this->relay_queue, member) != this->relay_queue.end();
+    if (!known && this->relay_queue.size() < kMaxRelayReceivers) {
+      this->relay_queue.push_back(member);
     }
   }
 }
 
-SyncActions PeerSync::TellOwed(std::chrono::milliseconds now) {
-  if (this->owed.empty() ||
-      this->view.Items().Complete() < this->owed_revision) {
+SyncActions PeerSync::SendRelay(std::chrono::milliseconds now) {
+  if (this->relay_queue.empty() ||
+      this->view.Items().Complete() < this->relay_revision) {
     return {};
   }
-  return this->Tell(std::exchange(this->owed, {}),
-                    PartsSince(this->view.Items(), this->owed_base_revision),
-                    now);
+  return this->MakeDigests(
+      std::exchange(this->relay_queue, {}),
+      PartsSince(this->view.Items(), this->relay_base_revision), now);
 }
 
-SyncActions PeerSync::OnPulled(ItemDelta delta, const ViewMark& mark,
+SyncActions PeerSync::OnPulled(ItemDelta delta, const ViewStatus& status,
                                std::chrono::milliseconds now) {
   this->pull.OnPulled();
   const common::Revision before = this->view.Items().Complete();
-  this->TakeMark(mark, now);
+  this->RecordStoreReturn(status, now);
   this->view.OnPeerItems(std::move(delta), now);
-  if (mark.age && mark.complete == this->view.Items().Complete()) {
-    this->view.Contact().OnConfirmed(now - *mark.age);
+  if (status.age && status.complete == this->view.Items().Complete()) {
+    this->view.Contact().OnConfirmed(now - *status.age);
   }
-  return this->OnNews(before, this->IsReader(now), now);
+  return this->OnViewChanged(before, this->IsReader(now), now);
 }
 
 }  // namespace sassafrasdyke::core
--- a/source/core/roster/peer_sync.h
+++ b/source/core/roster/peer_sync.h
@@ -1,10 +1,13 @@
-/// Decides who reads the store, what instances tell each other, and from whom
-/// one takes its view when the store doesn't answer it.
+/// Synchronizes views between instances: decides which instances read the
+/// store, which digests they send, and from whom an instance fetches its view
+/// if the store doesn't serve it.
 ///
-/// A watch by every instance would cost calls in proportion to the fleet, and
-/// the store's rate grows more slowly. So a few instances of each failure
-/// domain read and tell the others; an instance that isn't told in time reads
-/// for itself, so a wrong idea of who reads costs calls, not freshness.
+/// If every instance watched the store, its calls would grow in proportion to
+/// the fleet, while the store's permitted rate grows more slowly. So a few
+/// instances of each failure domain, its readers, watch the store and notify
+/// the others, their followers. A follower that isn't notified in time reads
+/// the store itself. So if instances disagree on who the readers are, that
+/// costs calls, but views don't get older.
 #pragma once
 
 #include <chrono>
@@ -24,23 +27,24 @@
 
 namespace sassafrasdyke::core {
 
-/// A digest and where to.
+/// A digest to send, and its receiver.
 struct DigestOut {
   common::Endpoint to;
   PeerDigest digest;
 };
 
-/// What is to be done after an event.
+/// What the caller must do after an event.
 struct SyncActions {
   std::vector<DigestOut> digests;
-  /// Take what this view lacks from this instance, over a stream.
+  /// Request the changes that this view lacks from this instance, over a
+  /// stream.
   std::optional<common::Endpoint> pull;
 };
 
-/// The exchange of one instance. Times are monotonic.
+/// The synchronization state of one instance. Times are monotonic.
 class PeerSync {
  public:
-  /// `view` must outlive this; `seed` varies random choices only.
+  /// `view` must outlive this. `seed` affects only random choices.
   PeerSync(RosterSelf self, const std::vector<common::Endpoint>& seeds,
            LiveView& view, const SyncLimits& limits, std::uint64_t seed)
       : view(view),
@@ -50,76 +54,83 @@
         plan(limits, seed),
         roster(std::move(self), seeds) {}
 
-  /// Greets the seeds, so that others learn of this instance at once.
+  /// Sends digests to the seeds, so that this instance becomes known at once.
   SyncActions OnStart(std::chrono::milliseconds now);
   /// Called about ten times a second.
   SyncActions OnTick(std::chrono::milliseconds now);
   SyncActions OnDigest(const PeerDigest& digest, std::chrono::milliseconds now);
-  /// The own reading of the store brought changes after `before`, or confirmed
-  /// that there are none.
-  SyncActions OnStoreNews(common::Revision before,
+  /// This instance has read the store. Its view was at revision `before`; the
+  /// store had changes after it, or confirmed that there are none.
+  SyncActions OnStoreRead(common::Revision before,
                           std::chrono::milliseconds now);
-  /// A stream brought another instance's items.
-  SyncActions OnPulled(ItemDelta delta, const ViewMark& mark,
+  /// A copy of another instance's items has arrived.
+  SyncActions OnPulled(ItemDelta delta, const ViewStatus& status,
                        std::chrono::milliseconds now);
-  /// No copy came. `instead`: who may be asked instead, if that was said.
+  /// The request for a copy failed. `instead`: the redirect target, if any.
   SyncActions OnPullFailed(const std::optional<common::Endpoint>& instead);
-  /// The source is busy serving other copies. Without `instead` it is asked
-  /// again at the next tick.
+  /// The source is busy serving other copies. Without a redirect target
+  /// `instead`, the request is repeated at the next tick.
   SyncActions OnPullRefused(const std::optional<common::Endpoint>& instead);
   /// An own call of the store failed.
   void OnStoreFailure(std::chrono::milliseconds now);
+  /// This instance is shutting down.
   void OnLeave() { this->leaving = true; }
   void SetSeeds(const std::vector<common::Endpoint>& seeds) {
     this->roster.SetSeeds(seeds);
   }
 
-  /// Whether, and why, this instance shall read the store itself now.
+  /// Whether, and why, this instance must read the store itself now.
   StoreReading Reading(std::chrono::milliseconds now) const;
   bool ShouldRead(std::chrono::milliseconds now) const {
     return this->Reading(now) != StoreReading::kNone;
   }
-  /// How far this view is, for an answer over a stream.
-  ViewMark Mark(std::chrono::milliseconds now) const;
+  /// Revision and age of the own view, as sent to peers.
+  ViewStatus Status(std::chrono::milliseconds now) const;
   const Roster& Members() const { return this->roster; }
 
  private:
-  SyncActions AskSeeds(std::chrono::milliseconds now);
+  SyncActions QuerySeeds(std::chrono::milliseconds now);
   PeerDigest MakeDigest(const common::Endpoint& receiver,
                         std::chrono::milliseconds now);
-  /// A digest that the receiver shall answer.
-  DigestOut MakeQuestion(const common::Endpoint& receiver,
-                         std::chrono::milliseconds now);
+  /// Makes a digest that asks for a reply.
+  DigestOut MakeQuery(const common::Endpoint& receiver,
+                      std::chrono::milliseconds now);
   ReadingRole Role(std::chrono::milliseconds now) const;
-  /// Asks each reader of the domain once for its view. A reader that has none
-  /// yet learns of this instance and tells it when it has one.
-  SyncActions AskReaders(std::chrono::milliseconds now);
-  /// Whether the view is too old, or the own reading of the store fails.
+  /// Sends each reader of the domain one query for its view. A reader without a
+  /// view learns of this instance and notifies it once it has one.
+  SyncActions QueryReaders(std::chrono::milliseconds now);
+  /// Whether the view is too old, or own calls of the store fail.
   bool NeedsPeers(std::chrono::milliseconds now) const;
   bool IsReader(std::chrono::milliseconds now) const;
   bool IsSeed() const;
-  void TakeMark(const ViewMark& mark, std::chrono::milliseconds now);
-  /// Treats the store as absent if the sender is a reader whose view is old.
-  void NoteStoreAbsence(const PeerDigest& digest,
-                        std::chrono::milliseconds now);
-  /// Clears `owed` unless a copy is pending.
-  void ClearOwedUnlessPulling();
-  SyncActions TellFollowers(std::span<const ItemDelta> changes,
+  void RecordStoreReturn(const ViewStatus& status,
+                         std::chrono::milliseconds now);
+  /// Treats the store as unreachable if the sender is a reader whose view is
+  /// old.
+  void DetectStoreOutage(const PeerDigest& digest,
+                         std::chrono::milliseconds now);
+  /// Clears `relay_queue` unless a copy is pending.
+  void ClearRelayUnlessPulling();
+  SyncActions NotifyFollowers(std::span<const ItemDelta> changes,
+                              std::chrono::milliseconds now);
+  /// The store or a peer has brought the own view up from revision `before`, or
+  /// confirmed it.
+  SyncActions OnViewChanged(common::Revision before, bool notify_followers,
                             std::chrono::milliseconds now);
-  /// The own view has what the store or a peer has told.
-  SyncActions OnNews(common::Revision before, bool tells_followers,
-                     std::chrono::milliseconds now);
-  SyncActions TellThroughRelays(const Followers& followers,
-                                std::span<const ItemDelta> changes,
-                                std::chrono::milliseconds now);
-  SyncActions Tell(std::span<const common::Endpoint> members,
-                   std::span<const ItemDelta> changes,
-                   std::chrono::milliseconds now);
-  /// Queues the members that the digest asks this instance to tell about its
-  /// view. `before` is the own revision before the digest was applied.
-  void Owe(const PeerDigest& digest, common::Revision before);
-  /// Tells the queued members once the own view has reached `owed_revision`.
-  SyncActions TellOwed(std::chrono::milliseconds now);
+  SyncActions NotifyThroughRelays(const Followers& followers,
+                                  std::span<const ItemDelta> changes,
+                                  std::chrono::milliseconds now);
+  /// Makes one digest for each member and part of the changes; one for each
+  /// member if there are no changes.
+  SyncActions MakeDigests(std::span<const common::Endpoint> members,
+                          std::span<const ItemDelta> changes,
+                          std::chrono::milliseconds now);
+  /// Queues the members to which the digest asks this instance to relay.
+  /// `before`: the own revision before the digest was applied.
+  void QueueRelay(const PeerDigest& digest, common::Revision before);
+  /// Notifies the queued members once the own view has reached
+  /// `relay_revision`.
+  SyncActions SendRelay(std::chrono::milliseconds now);
 
   LiveView& view;
   const SyncLimits limits;
@@ -128,15 +139,16 @@
   ReadingPlan plan;
   Roster roster;
   bool leaving{false};
-  /// Readers that `AskReaders` has asked.
-  std::vector<common::Endpoint> asked_readers;
-  std::vector<common::Endpoint> owed;  ///< To be told by this instance.
-  /// The revision that the owed members are assumed to have.
-  common::Revision owed_base_revision;
-  /// The revision that the own view must reach before they are told.
-  common::Revision owed_revision;
-  std::chrono::milliseconds asked_at{0};
-  std::chrono::milliseconds greeted_at{0};
+  /// Readers that `QueryReaders` has sent a query.
+  std::vector<common::Endpoint> queried_readers;
+  /// Members that this instance must notify.
+  std::vector<common::Endpoint> relay_queue;
+  /// The revision that these members are assumed to have.
+  common::Revision relay_base_revision;
+  /// The revision that the own view must reach before they are notified.
+  common::Revision relay_revision;
+  std::chrono::milliseconds last_query_at{0};
+  std::chrono::milliseconds last_heartbeat_at{0};
 };
 
 }  // namespace sassafrasdyke::core
--- a/source/core/roster/reading_plan.cc
+++ b/source/core/roster/reading_plan.cc
@@ -36,8 +36,8 @@
 
 void ReadingPlan::OnDigest(std::chrono::milliseconds now) {
   if (!this->last_digest_at) {
-    this->listing_left_until = now + this->limits.leave_listing +
-                               this->jitter.UpTo(this->limits.leave_listing);
+    this->list_not_before = now + this->limits.min_copy_wait +
+                            this->jitter.UpTo(this->limits.min_copy_wait);
   }
   this->last_digest_at = now;
 }
@@ -56,15 +56,15 @@
   if (this->HasHeardPeers()) {
     const std::chrono::milliseconds start =
         this->NextSubstituteTime(this->MaxSubstituteDelay(members), now);
-    this->listing_left_until = start;
+    this->list_not_before = start;
     this->substitute_from = start;
   }
 }
 
-void ReadingPlan::OnStoreAbsence(std::size_t members,
-                                 std::chrono::milliseconds now) {
+void ReadingPlan::OnStoreUnreachable(std::size_t members,
+                                     std::chrono::milliseconds now) {
   if (this->substitute_from && now < *this->substitute_from &&
-      !std::exchange(this->store_absent, true)) {
+      !std::exchange(this->store_unreachable, true)) {
     this->substitute_from =
         this->NextSubstituteTime(this->MaxSubstituteDelay(members), now);
   }
@@ -74,7 +74,7 @@
                          std::size_t members, std::chrono::milliseconds now) {
   if (!this->TooOld(age)) {
     this->substitute_from.reset();
-    this->store_absent = false;
+    this->store_unreachable = false;
   } else if (!this->substitute_from) {
     this->substitute_from = this->NextSubstituteTime(
         std::min(this->MaxSubstituteDelay(members),
@@ -99,8 +99,8 @@
   if (role.reader) {
     return StoreReading::kNeeded;
   }
-  return now < this->listing_left_until ? StoreReading::kNone
-                                        : StoreReading::kSubstitute;
+  return now < this->list_not_before ? StoreReading::kNone
+                                     : StoreReading::kSubstitute;
 }
 
 StoreReading ReadingPlan::ReadingWithView(
--- a/source/core/roster/reading_plan.h
+++ b/source/core/roster/reading_plan.h
@@ -3,8 +3,8 @@
 /// The store's bandwidth and request rate don't grow with the fleet. After a
 /// common restart no instance has a view. If all instances of a large fleet
 /// listed the store at once, the answers would saturate its link, miss their
-/// deadlines and be requested again. While the store is away all views become
-/// old, and all instances would call it at the same time.
+/// deadlines and be requested again. While the store is unreachable all views
+/// become old, and all instances would call it at the same time.
 #pragma once
 
 #include <chrono>
@@ -24,10 +24,11 @@
   /// No peer has answered yet. The instance lists the store only if the answer
   /// is small enough for all instances of the fleet to list it at once.
   kProbe,
-  /// Nobody has told it anything for a while. Its domain's readers are trying
-  /// as well, and will tell it.
+  /// It has received no update for a while. The readers of its domain call the
+  /// store as well, and notify it when they succeed.
   kSubstitute,
-  /// Others depend on it, or it can't serve without.
+  /// It is a reader or a seed on which others depend, or it can't get a view in
+  /// another way.
   kNeeded,
 };
 
@@ -54,8 +55,8 @@
   void OnFailure(std::size_t members, std::chrono::milliseconds now);
   /// A reader of the failure domain reported that it can't reach the store. No
   /// change can be missed then, so a pending delay is replaced, once per
-  /// absence, by a random one without the bound of the first delay.
-  void OnStoreAbsence(std::size_t members, std::chrono::milliseconds now);
+  /// outage, by a random one without the bound of the first delay.
+  void OnStoreUnreachable(std::size_t members, std::chrono::milliseconds now);
   /// Called ten times a second. `age`: the age of the view, if there is one.
   void OnTick(std::optional<std::chrono::milliseconds> age, std::size_t members,
               std::chrono::milliseconds now);
@@ -68,8 +69,8 @@
   StoreReading ReadingWithView(const ReadingRole& role,
                                std::optional<std::chrono::milliseconds> age,
                                std::chrono::milliseconds now) const;
-  /// Whether the instance reads in place of its domain's readers and tells the
-  /// other followers what it reads.
+  /// Whether the instance reads in place of its domain's readers and notifies
+  /// the other followers.
   bool IsSubstitute(std::chrono::milliseconds now) const {
     return this->substitute_from && now >= *this->substitute_from;
   }
@@ -95,11 +96,12 @@
   /// Whether a call of the store has failed; prevents further probes.
   bool store_failed{false};
   std::optional<std::chrono::milliseconds> last_digest_at;
-  std::chrono::milliseconds listing_left_until{0};
+  /// Until this time the instance leaves listing the store to others.
+  std::chrono::milliseconds list_not_before{0};
   std::optional<std::chrono::milliseconds> substitute_from;
-  /// Whether OnStoreAbsence() has replaced a delay since the view became too
-  /// old.
-  bool store_absent{false};
+  /// Whether OnStoreUnreachable() has replaced a delay since the view became
+  /// too old.
+  bool store_unreachable{false};
 };
 
 }  // namespace sassafrasdyke::core
--- a/source/core/roster/roster.cc
+++ b/source/core/roster/roster.cc
@@ -8,14 +8,14 @@
 namespace sassafrasdyke::core {
 namespace {
 
-/// Silence after which a member no longer counts for who reads the store.
-/// Members speak every second, so this is five lost digests.
-constexpr std::chrono::milliseconds kCandidateFor{5000};
-/// Silence after which a member is forgotten. Longer than a restart takes, so
-/// that an instance that comes back is asked again.
-constexpr std::chrono::milliseconds kKeptFor{20'000};
-/// Members remembered at most: twice the fleet that is designed for.
-constexpr std::size_t kMostMembers = 2048;
+/// A member that hasn't been heard of for this long can't be a reader. Members
+/// send a digest every second, so this is five lost digests.
+constexpr std::chrono::milliseconds kCandidateTimeout{5000};
+/// A member that hasn't been heard of for this long is removed. Longer than a
+/// restart takes, so that a restarted instance still receives digests.
+constexpr std::chrono::milliseconds kMemberTimeout{20'000};
+/// Upper bound of known members: twice the size of the largest supported fleet.
+constexpr std::size_t kMaxMembers = 2048;
 
 constexpr std::uint64_t kRankSalt = 0x72616E6BULL;
 
@@ -24,7 +24,7 @@
 }
 
 template <typename Value>
-const Value* OneOf(const std::vector<Value>& values, Jitter& jitter) {
+const Value* RandomElement(const std::vector<Value>& values, Jitter& jitter) {
   return values.empty() ? nullptr : &values[jitter.Below(values.size())];
 }
 
@@ -32,9 +32,9 @@
 
 bool Roster::OnDigest(const PeerDigest& digest, std::chrono::milliseconds now) {
   for (const PeerMention& mention : digest.known) {
-    this->Hear(mention.peer, mention.domain, now - mention.heard_ago);
+    this->RecordMember(mention.peer, mention.domain, now - mention.heard_ago);
   }
-  const bool added = this->Hear(digest.sender, digest.domain, now);
+  const bool added = this->RecordMember(digest.sender, digest.domain, now);
   if (const auto found = this->members.find(digest.sender);
       found != this->members.end()) {
     found->second.leaving = digest.leaving;
@@ -42,14 +42,15 @@
   return added;
 }
 
-bool Roster::Hear(const common::Endpoint& peer, const std::string& domain,
-                  std::chrono::milliseconds at) {
+bool Roster::RecordMember(const common::Endpoint& peer,
+                          const std::string& domain,
+                          std::chrono::milliseconds at) {
   const auto found = this->members.find(peer);
   if (found != this->members.end()) {
     found->second.heard_at = std::max(found->second.heard_at, at);
     return false;
   }
-  if (peer == this->self.address || this->members.size() >= kMostMembers) {
+  if (peer == this->self.address || this->members.size() >= kMaxMembers) {
     return false;
   }
   this->members.emplace(peer, Member{domain, at, false});
@@ -58,26 +59,26 @@
 
 void Roster::Expire(std::chrono::milliseconds now) {
   std::erase_if(this->members, [now](const auto& member) {
-    return now - member.second.heard_at > kKeptFor;
+    return now - member.second.heard_at > kMemberTimeout;
   });
 }
 
 bool Roster::IsCandidate(const Member& member, const std::string& domain,
                          std::chrono::milliseconds now) {
   return member.domain == domain && !member.leaving &&
-         now - member.heard_at <= kCandidateFor;
+         now - member.heard_at <= kCandidateTimeout;
 }
 
-std::vector<common::Endpoint> Roster::Order(
+std::vector<common::Endpoint> Roster::RankedCandidates(
     std::chrono::milliseconds now) const {
-  std::vector<common::Endpoint> order{this->self.address};
+  std::vector<common::Endpoint> ranking{this->self.address};
   for (const auto& [peer, member] : this->members) {
     if (IsCandidate(member, this->self.domain, now)) {
-      order.push_back(peer);
+      ranking.push_back(peer);
     }
   }
-  std::ranges::sort(order, std::ranges::greater{}, ScoreOf);
-  return order;
+  std::ranges::sort(ranking, std::ranges::greater{}, ScoreOf);
+  return ranking;
 }
 
 std::size_t Roster::Rank(std::chrono::milliseconds now) const {
@@ -110,16 +111,16 @@
 Followers Roster::FollowersOf(std::size_t readers,
                               std::chrono::milliseconds now) const {
   Followers followers;
-  followers.lively = this->Order(now);
+  followers.recent = this->RankedCandidates(now);
   const auto first =
-      static_cast<std::ptrdiff_t>(std::min(readers, followers.lively.size()));
-  followers.lively.erase(followers.lively.begin(),
-                         followers.lively.begin() + first);
-  std::erase(followers.lively, this->self.address);
+      static_cast<std::ptrdiff_t>(std::min(readers, followers.recent.size()));
+  followers.recent.erase(followers.recent.begin(),
+                         followers.recent.begin() + first);
+  std::erase(followers.recent, this->self.address);
   for (const auto& [peer, member] : this->members) {
     const bool near = member.domain == this->self.domain && !member.leaving;
     if (near && !IsCandidate(member, this->self.domain, now)) {
-      followers.quiet.push_back(peer);
+      followers.silent.push_back(peer);
     }
   }
   return followers;
@@ -137,13 +138,13 @@
 
 std::vector<common::Endpoint> Roster::Readers(
     std::size_t readers, std::chrono::milliseconds now) const {
-  std::vector<common::Endpoint> order = this->Order(now);
-  order.resize(std::min(readers, order.size()));
-  std::erase(order, this->self.address);
-  return order;
+  std::vector<common::Endpoint> ranking = this->RankedCandidates(now);
+  ranking.resize(std::min(readers, ranking.size()));
+  std::erase(ranking, this->self.address);
+  return ranking;
 }
 
-std::vector<common::Endpoint> Roster::Pick(
+std::vector<common::Endpoint> Roster::PickReceivers(
     std::size_t readers, Jitter& jitter, std::chrono::milliseconds now) const {
   std::vector<common::Endpoint> others = this->Seeds();
   for (const auto& [peer, member] : this->members) {
@@ -152,17 +153,18 @@
   std::vector<common::Endpoint> near =
       jitter.Below(2) == 0 ? this->Readers(readers, now) : this->Neighbours();
   std::vector<common::Endpoint> picked;
-  if (const auto* neighbour = OneOf(near, jitter); neighbour != nullptr) {
+  if (const auto* neighbour = RandomElement(near, jitter);
+      neighbour != nullptr) {
     picked.push_back(*neighbour);
   }
-  if (const auto* any = OneOf(others, jitter);
+  if (const auto* any = RandomElement(others, jitter);
       any != nullptr && (picked.empty() || picked.front() != *any)) {
     picked.push_back(*any);
   }
   return picked;
 }
 
-std::vector<PeerMention> Roster::MentionReaders(
+std::vector<PeerMention> Roster::SelectReaderMentions(
     const common::Endpoint& receiver, const std::string& domain,
     std::size_t readers, std::chrono::milliseconds now) const {
   std::vector<PeerMention> mentions;
@@ -180,15 +182,15 @@
   return mentions;
 }
 
-std::vector<PeerMention> Roster::Mention(const common::Endpoint& receiver,
-                                         std::size_t readers, std::size_t most,
-                                         Jitter& jitter,
-                                         std::chrono::milliseconds now) const {
+std::vector<PeerMention> Roster::SelectMentions(
+    const common::Endpoint& receiver, std::size_t readers,
+    std::size_t max_neighbours, Jitter& jitter,
+    std::chrono::milliseconds now) const {
   const auto known = this->members.find(receiver);
   const std::string& domain =
       known == this->members.end() ? this->self.domain : known->second.domain;
   std::vector<PeerMention> mentions =
-      this->MentionReaders(receiver, domain, readers, now);
+      this->SelectReaderMentions(receiver, domain, readers, now);
   std::vector<PeerMention> near;
   std::vector<PeerMention> far;
   for (const auto& [peer, member] : this->members) {
@@ -197,12 +199,12 @@
       others.push_back({peer, member.domain, now - member.heard_at});
     }
   }
-  const std::size_t count = std::min(most, near.size());
+  const std::size_t count = std::min(max_neighbours, near.size());
   for (std::size_t i = 0; i < count; ++i) {
     std::swap(near[i], near[i + jitter.Below(near.size() - i)]);
     mentions.push_back(std::move(near[i]));
   }
-  if (const auto* other = OneOf(far, jitter); other != nullptr) {
+  if (const auto* other = RandomElement(far, jitter); other != nullptr) {
     mentions.push_back(*other);
   }
   return mentions;
--- a/source/core/roster/roster.h
+++ b/source/core/roster/roster.h
@@ -1,6 +1,6 @@
-/// The instances that this one knows of. Nothing lists them: they are found
-/// through a few seeds, and tell each other. Being wrong about one costs a call
-/// or a second, never a flow.
+/// The fleet's membership as seen by one instance. There is no authoritative
+/// list: members are discovered through a few seeds and by gossip. A wrong
+/// entry costs a call or a delay of a second, never a flow.
 #pragma once
 
 #include <chrono>
@@ -16,18 +16,18 @@
 
 namespace sassafrasdyke::core {
 
-/// Who this instance is to its peers.
+/// How peers identify this instance.
 struct RosterSelf {
   common::Endpoint address;
   std::string domain;
 };
 
-/// Members that are to be told of news.
+/// Members to notify of changes.
 struct Followers {
-  std::vector<common::Endpoint> lively;  ///< Heard of in the last seconds.
-  /// The others. In a large domain an instance hears of some only now and then,
-  /// though they live.
-  std::vector<common::Endpoint> quiet;
+  std::vector<common::Endpoint> recent;  ///< Heard of in the last seconds.
+  /// The others. In a large domain an instance hears of some live members only
+  /// rarely.
+  std::vector<common::Endpoint> silent;
 };
 
 /// Members by address. Times are monotonic.
@@ -39,40 +39,47 @@
   void SetSeeds(const std::vector<common::Endpoint>& seeds) {
     this->seeds = seeds;
   }
-  /// Takes the sender and those it mentions; true if the sender is new.
+  /// Records the sender and the members it mentions. Returns true if the sender
+  /// is new.
   bool OnDigest(const PeerDigest& digest, std::chrono::milliseconds now);
-  /// Forgets members that nobody has heard of for long.
+  /// Removes members of which nothing has been heard for long.
   void Expire(std::chrono::milliseconds now);
 
-  /// Position of this instance among its failure domain's readers-to-be: all
-  /// instances with the same members compute the same order.
+  /// Position of this instance in the ranking of its failure domain; the first
+  /// ones are the readers. Instances that know the same members compute the
+  /// same ranking.
   std::size_t Rank(std::chrono::milliseconds now) const;
   /// The other members of the own failure domain.
   std::vector<common::Endpoint> Neighbours() const;
-  /// The first of the domain's order but this instance.
+  /// The first `readers` members of the domain's ranking, without this
+  /// instance.
   std::vector<common::Endpoint> Readers(std::size_t readers,
                                         std::chrono::milliseconds now) const;
-  /// Whom readers tell of news: the domain's members but the first `readers`.
+  /// The members that readers notify: all of the domain except the first
+  /// `readers` of the ranking.
   Followers FollowersOf(std::size_t readers,
                         std::chrono::milliseconds now) const;
-  /// One member of the own failure domain and one of any, or seeds where none
-  /// is known; at random, never this instance. Half of the time the first is
-  /// one of the domain's `readers`, so that those who have news to tell hear
-  /// of every member within seconds, however large the domain is.
-  std::vector<common::Endpoint> Pick(std::size_t readers, Jitter& jitter,
-                                     std::chrono::milliseconds now) const;
-  /// Members for a digest to `receiver`: up to `readers` readers of its failure
-  /// domain, up to `most` members of the own domain, and one of another domain.
-  std::vector<PeerMention> Mention(const common::Endpoint& receiver,
-                                   std::size_t readers, std::size_t most,
-                                   Jitter& jitter,
-                                   std::chrono::milliseconds now) const;
+  /// Receivers of the next digests, at random: one member of the own failure
+  /// domain and one of any domain, which may also be a seed; never this
+  /// instance. Half of the time the first is one of the domain's `readers`, so
+  /// that those who notify the others hear of every member within seconds,
+  /// however large the domain is.
+  std::vector<common::Endpoint> PickReceivers(
+      std::size_t readers, Jitter& jitter, std::chrono::milliseconds now) const;
+  /// Selects the members to mention in a digest to `receiver`: up to `readers`
+  /// readers of its failure domain, up to `max_neighbours` members of the own
+  /// domain, and one of another domain.
+  std::vector<PeerMention> SelectMentions(const common::Endpoint& receiver,
+                                          std::size_t readers,
+                                          std::size_t max_neighbours,
+                                          Jitter& jitter,
+                                          std::chrono::milliseconds now) const;
   /// Live members of the own failure domain, this instance included.
   std::size_t DomainSize(std::chrono::milliseconds now) const;
   std::size_t Size() const { return this->members.size(); }
   const RosterSelf& Self() const { return this->self; }
   bool IsSeed(const common::Endpoint& peer) const;
-  /// The seeds but this instance.
+  /// The seeds without this instance.
   std::vector<common::Endpoint> Seeds() const;
 
  private:
@@ -82,17 +89,20 @@
     bool leaving{false};
   };
 
-  bool Hear(const common::Endpoint& peer, const std::string& domain,
-            std::chrono::milliseconds at);
+  /// Adds a member, or updates the time when it was last heard of. Returns true
+  /// if it was added.
+  bool RecordMember(const common::Endpoint& peer, const std::string& domain,
+                    std::chrono::milliseconds at);
+  /// Whether a member of `domain` counts in the ranking.
   static bool IsCandidate(const Member& member, const std::string& domain,
                           std::chrono::milliseconds now);
-  /// Own domain's candidates and this instance, best first.
-  std::vector<common::Endpoint> Order(std::chrono::milliseconds now) const;
+  /// The own domain's candidates and this instance, highest rank first.
+  std::vector<common::Endpoint> RankedCandidates(
+      std::chrono::milliseconds now) const;
   /// The highest-ranked known candidates of `domain`, without `receiver`.
-  std::vector<PeerMention> MentionReaders(const common::Endpoint& receiver,
-                                          const std::string& domain,
-                                          std::size_t readers,
-                                          std::chrono::milliseconds now) const;
+  std::vector<PeerMention> SelectReaderMentions(
+      const common::Endpoint& receiver, const std::string& domain,
+      std::size_t readers, std::chrono::milliseconds now) const;
 
   RosterSelf self;
   std::vector<common::Endpoint> seeds;
--- a/source/core/roster/sync_limits.cc
+++ b/source/core/roster/sync_limits.cc
@@ -4,16 +4,16 @@
 
 namespace sassafrasdyke::core {
 
-SyncLimits SyncLimitsFor(const NewsPace& pace) {
+SyncLimits SyncLimitsFor(const PropagationScale& scale) {
   SyncLimits limits;
-  limits.ask_after = pace.Of(limits.ask_after);
-  limits.read_after = pace.Of(limits.read_after);
-  limits.ask_every = pace.Of(limits.ask_every);
+  limits.query_after = scale.Apply(limits.query_after);
+  limits.read_after = scale.Apply(limits.read_after);
+  limits.query_interval = scale.Apply(limits.query_interval);
   // Time reserved for reading the store and passing the change on to peers.
   constexpr std::chrono::milliseconds kReadAndRelayTime{300};
   limits.max_first_substitute_delay =
-      std::max(pace.KnownWithin() - limits.read_after - kReadAndRelayTime,
-               pace.Of(kReadAndRelayTime));
+      std::max(scale.KnownWithin() - limits.read_after - kReadAndRelayTime,
+               scale.Apply(kReadAndRelayTime));
   return limits;
 }
 
--- a/source/core/view/item_store.cc
+++ b/source/core/view/item_store.cc
@@ -7,9 +7,10 @@
 namespace sassafrasdyke::core {
 namespace {
 
-/// Marks of removed items that are kept for deltas: at 3,200 restarts a day
-/// about an hour of them, and 100 KB. Who is further behind takes a whole copy.
-constexpr std::size_t kMaxRemovals = 1024;
+/// Removal marks that are kept for deltas. At 3,200 restarts a day that is
+/// about an hour of removals, in 100 KB. A peer that is further behind gets a
+/// full copy.
+constexpr std::size_t kMaxRemovalMarks = 1024;
 
 }  // namespace
 
@@ -20,10 +21,10 @@
     return false;
   }
   const bool was_removed = !added && !entry.value;
-  this->removals += item.value ? 0 : 1;
+  this->removal_marks += item.value ? 0 : 1;
   entry = {item.revision, std::move(item.value)};
-  this->removals -= was_removed ? 1 : 0;
-  this->ForgetOldRemovals();
+  this->removal_marks -= was_removed ? 1 : 0;
+  this->DropOldRemovalMarks();
   return true;
 }
 
@@ -36,15 +37,15 @@
   std::vector<std::string> changed = this->MergeAll(std::move(items));
   std::vector<std::string> removed;
   for (const auto& [key, entry] : this->entries) {
-    // A listing that began before an item was written may lack it; the item's
-    // own revision is greater then, and it stays.
+    // A listing that began before an item was written may lack it. The item's
+    // revision is greater than the listing's then, and the item stays.
     if (entry.value && entry.revision <= at && !listed.contains(key)) {
       removed.push_back(key);
     }
   }
   for (std::string& key : removed) {
-    // An item written at exactly `at` and missing from the listing is gone,
-    // though its mark can't have a greater revision than the item.
+    // An item written at exactly `at` and missing from the listing was removed,
+    // but Merge() would refuse a removal mark of the item's own revision.
     this->entries[key].revision = {};
     this->Merge({key, at, std::nullopt});
     changed.push_back(std::move(key));
@@ -97,7 +98,7 @@
 
 ItemDelta ItemStore::Since(common::Revision have) const {
   ItemDelta delta{
-      have, this->complete, have < this->forgotten || have.value == 0, {}};
+      have, this->complete, have < this->dropped_up_to || have.value == 0, {}};
   for (const auto& [key, entry] : this->entries) {
     const bool wanted =
         delta.whole ? entry.value.has_value() : entry.revision > have;
@@ -108,11 +109,11 @@
   return delta;
 }
 
-void ItemStore::ForgetOldRemovals() {
-  if (this->removals <= kMaxRemovals) {
+void ItemStore::DropOldRemovalMarks() {
+  if (this->removal_marks <= kMaxRemovalMarks) {
     return;
   }
-  // The older half goes at once, so that this is rare.
+  // Dropping the older half at once keeps this scan rare.
   std::vector<common::Revision> revisions;
   for (const auto& [key, entry] : this->entries) {
     if (!entry.value) {
@@ -122,11 +123,11 @@
   const auto middle =
       revisions.begin() + static_cast<std::ptrdiff_t>(revisions.size() / 2);
   std::nth_element(revisions.begin(), middle, revisions.end());
-  this->forgotten = std::max(this->forgotten, *middle);
+  this->dropped_up_to = std::max(this->dropped_up_to, *middle);
   std::erase_if(this->entries, [this](const auto& pair) {
-    return !pair.second.value && pair.second.revision <= this->forgotten;
+    return !pair.second.value && pair.second.revision <= this->dropped_up_to;
   });
-  this->removals = static_cast<std::size_t>(
+  this->removal_marks = static_cast<std::size_t>(
       std::count_if(this->entries.begin(), this->entries.end(),
                     [](const auto& pair) { return !pair.second.value; }));
 }
--- a/source/core/view/item_store.h
+++ b/source/core/view/item_store.h
@@ -1,6 +1,6 @@
-/// The published items as an instance has them, from whatever source: the
-/// store, or another instance. Each item carries the revision of its last
-/// change, so copies merge in any order and nothing ever goes back.
+/// An instance's replica of the published items, merged from the store and from
+/// other instances. Each item carries the revision of its last change, so
+/// changes can be merged in any order, and an older one never replaces a newer.
 #pragma once
 
 #include <cstddef>
@@ -22,54 +22,57 @@
   friend bool operator==(const Item&, const Item&) = default;
 };
 
-/// All changes in (from, to], or everything that exists at `to`.
+/// All changes with revisions in (from, to], or a full copy at revision `to`.
 struct ItemDelta {
   common::Revision from;
   common::Revision to;
-  bool whole{false};  ///< Everything; what it doesn't list was removed.
+  bool whole{false};  ///< A full copy; items that it lacks were removed.
   std::vector<Item> items;
 };
 
-/// Items by key, with marks of what was removed. Items are taken by value and
-/// moved in: a configuration of some thousand routes is the greatest thing that
-/// an instance holds, and each copy of it counts at the moment of a change.
+/// Items by key, with removal marks for removed ones. Items are passed by value
+/// and moved in: a configuration of some thousand routes is the largest object
+/// that an instance holds, and copies of it add to peak memory during a change.
 class ItemStore {
  public:
-  /// Takes one change; false if the same or a newer one is known.
+  /// Merges one change. Returns false if the same or a newer one is stored.
   bool Merge(Item item);
-  /// Takes a listing that is complete at `at`: what it lacks was removed.
-  /// Returns the keys of the items that changed.
+  /// Merges a listing that is complete at revision `at`: items that it lacks
+  /// were removed. Returns the keys of the items that changed.
   std::vector<std::string> Replace(std::vector<Item> items,
                                    common::Revision at);
-  /// Takes another instance's items; nothing of a delta with a gap before it,
-  /// or of an older whole. Returns the keys of the items that changed.
+  /// Merges items received from another instance. Ignores a delta that starts
+  /// after the own revision, which would leave a gap, and one that ends at or
+  /// before it. Returns the keys of the items that changed.
   std::vector<std::string> Apply(ItemDelta delta);
-  /// The item's value; null when it was removed or was never known.
+  /// The item's value; null if it was removed or never stored.
   const std::string* ValueOf(const std::string& key) const;
-  /// The revision of the item's last change; 0 when it was never known.
+  /// The revision of the item's last change; 0 if there is no entry.
   common::Revision RevisionOf(const std::string& key) const;
-  /// Every change up to `revision` has been merged.
+  /// Records that every change up to `revision` has been merged.
   void CompleteTo(common::Revision revision);
 
-  /// Up to which revision every change is known; 0 before the first listing.
+  /// The revision up to which every change is merged; 0 before the first
+  /// listing.
   common::Revision Complete() const { return this->complete; }
-  /// What another instance that is complete to `have` lacks.
+  /// The changes after `have`; a full copy if `have` is 0 or removal marks
+  /// after it have been dropped.
   ItemDelta Since(common::Revision have) const;
 
  private:
-  /// The keys of those that were news.
+  /// Returns the keys of the items that changed.
   std::vector<std::string> MergeAll(std::vector<Item> items);
-  void ForgetOldRemovals();
+  void DropOldRemovalMarks();
 
   struct Entry {
     common::Revision revision;
     std::optional<std::string> value;
   };
   std::map<std::string, Entry> entries;
-  std::size_t removals{0};
+  std::size_t removal_marks{0};
   common::Revision complete;
-  /// Removals up to this revision may have been forgotten.
-  common::Revision forgotten;
+  /// Removal marks up to this revision may have been dropped.
+  common::Revision dropped_up_to;
 };
 
 }  // namespace sassafrasdyke::core
--- a/source/core/view/live_view.cc
+++ b/source/core/view/live_view.cc
@@ -6,7 +6,7 @@
 
 void LiveView::OnListing(std::vector<Item> items, common::Revision at,
                          std::chrono::milliseconds now) {
-  this->Take(this->items.Replace(std::move(items), at), now);
+  this->ApplyItems(this->items.Replace(std::move(items), at), now);
 }
 
 void LiveView::OnChanges(ChangeBatch batch, std::chrono::milliseconds now) {
@@ -18,40 +18,41 @@
     }
   }
   this->items.CompleteTo(batch.at);
-  this->Take(changed, now);
+  this->ApplyItems(changed, now);
 }
 
 void LiveView::OnPeerItems(ItemDelta delta, std::chrono::milliseconds now) {
-  this->Take(this->items.Apply(std::move(delta)), now);
+  this->ApplyItems(this->items.Apply(std::move(delta)), now);
 }
 
-void LiveView::Take(const std::vector<std::string>& changed,
-                    std::chrono::milliseconds now) {
+void LiveView::ApplyItems(const std::vector<std::string>& changed,
+                          std::chrono::milliseconds now) {
   for (const std::string& key : changed) {
     if (const std::string* const value = this->items.ValueOf(key)) {
-      this->TakeItem(key, *value, this->items.RevisionOf(key), now);
+      this->ApplyItem(key, *value, this->items.RevisionOf(key), now);
     } else {
-      this->TakeRemoval(key, now);
+      this->ApplyRemoval(key, now);
     }
   }
 }
 
-// While the store is away, targets can't renew their entries, and they lapse
-// though the targets serve. Believing that at once would leave new flows with
-// nobody to go to, and reset open ones, until the targets have registered
-// again. The removals count once the time that they may take has passed.
-void LiveView::TakeRemoval(const std::string& key,
-                           std::chrono::milliseconds now) {
+// While the store is unreachable, targets can't renew their entries, so the
+// entries expire although the targets still serve. If the removals were applied
+// at once, new flows would find no target and open ones would be reset until
+// the targets have registered again. So they are deferred for the time that
+// targets may take to do so.
+void LiveView::ApplyRemoval(const std::string& key,
+                            std::chrono::milliseconds now) {
   if (this->contact.LapseLikely(now)) {
-    this->targets.Remove(key, now, this->contact.RemovalDue(now));
+    this->targets.Remove(key, now, this->contact.RemovalEffectiveAt(now));
   } else {
     this->targets.Remove(key, now, std::nullopt);
   }
 }
 
-void LiveView::TakeItem(const std::string& key, const std::string& value,
-                        common::Revision revision,
-                        std::chrono::milliseconds now) {
+void LiveView::ApplyItem(const std::string& key, const std::string& value,
+                         common::Revision revision,
+                         std::chrono::milliseconds now) {
   auto read = this->publication.ReadItem(key, value);
   if (!read) {
     this->targets.MarkUnreadable(key);
@@ -63,12 +64,12 @@
     this->targets.Publish(key, *target, now);
     return;
   }
-  this->TakeConfiguration(std::get<PublishedConfiguration>(std::move(*read)),
-                          now);
+  this->ApplyConfiguration(std::get<PublishedConfiguration>(std::move(*read)),
+                           now);
 }
 
-void LiveView::TakeConfiguration(PublishedConfiguration configuration,
-                                 std::chrono::milliseconds now) {
+void LiveView::ApplyConfiguration(PublishedConfiguration configuration,
+                                  std::chrono::milliseconds now) {
   const std::uint64_t version = configuration.version;
   const std::uint64_t before = this->routes.Version();
   const auto outcome = this->routes.Replace(std::move(configuration), now);
--- a/source/core/view/live_view.h
+++ b/source/core/view/live_view.h
@@ -1,5 +1,5 @@
-/// What is in force on this instance: published items from any source, put into
-/// the tables that packets are decided by.
+/// The routes and targets that this instance uses. Merges published items from
+/// the store and from peers, and updates the tables that forwarding reads.
 #pragma once
 
 #include <chrono>
@@ -16,47 +16,50 @@
 
 namespace sassafrasdyke::core {
 
-/// Where items came from.
+/// The source of published items.
 enum class ViewSource : std::uint8_t { kStore, kPeer };
 
-/// A configuration came in force.
+/// A configuration took effect.
 struct ConfigurationInForce {
   std::uint64_t version{0};
   std::size_t routes{0};
 };
 
-/// A configuration that is older than the one in force was left out.
+/// A configuration was ignored because it isn't newer than the one in force.
 struct ConfigurationRefused {
   std::uint64_t version{0};
   std::uint64_t in_force{0};
 };
 
-/// An item can't be read; what was known before it holds.
+/// An item can't be decoded. A configuration in force stays in force, and a
+/// target keeps its open flows.
 struct ItemUnreadable {
   std::string key;
   ItemFault fault;
 };
 
-/// Something that an operator may want to see.
+/// A change of the view, for the log.
 using ViewChange = std::variant<ConfigurationInForce, ConfigurationRefused,
                                 ItemUnreadable, TargetChange>;
 
-/// Keeps the tables in step with the items. Times are monotonic.
+/// Keeps the route and target tables consistent with the published items. Times
+/// are monotonic.
 class LiveView {
  public:
-  /// `publication` must outlive the view. `flow_life`: the longest that a flow
-  /// stays open.
+  /// `publication` must outlive the view. `flow_life`: the maximum lifetime of
+  /// a flow.
   LiveView(const Publication& publication, std::chrono::milliseconds flow_life)
       : publication(publication), routes(flow_life), targets(flow_life) {}
 
-  /// Takes a complete listing.
+  /// Applies a complete listing of the store at revision `at`.
   void OnListing(std::vector<Item> items, common::Revision at,
                  std::chrono::milliseconds now);
-  /// Takes changes that follow what is known.
+  /// Applies changes that directly follow the revisions received so far.
   void OnChanges(ChangeBatch batch, std::chrono::milliseconds now);
-  /// Takes what another instance has.
+  /// Applies items received from another instance.
   void OnPeerItems(ItemDelta delta, std::chrono::milliseconds now);
-  /// Believes removals that are due.
+  /// Applies deferred removals that are due, and drops targets that have been
+  /// gone for the lifetime of a flow. Called about ten times a second.
   void OnTick(std::chrono::milliseconds now);
 
   /// Whether there is a configuration and a complete list of targets.
@@ -70,18 +73,18 @@
   const TargetTable& Targets() const { return this->targets; }
   StoreContact& Contact() { return this->contact; }
   const StoreContact& Contact() const { return this->contact; }
-  /// Takes the changes since the last call.
+  /// Returns the changes since the last call.
   std::vector<ViewChange> TakeChanges();
 
  private:
-  /// Puts the items of these keys into the tables.
-  void Take(const std::vector<std::string>& changed,
-            std::chrono::milliseconds now);
-  void TakeRemoval(const std::string& key, std::chrono::milliseconds now);
-  void TakeItem(const std::string& key, const std::string& value,
-                common::Revision revision, std::chrono::milliseconds now);
-  void TakeConfiguration(PublishedConfiguration configuration,
-                         std::chrono::milliseconds now);
+  /// Updates the tables from the stored items with these keys.
+  void ApplyItems(const std::vector<std::string>& changed,
+                  std::chrono::milliseconds now);
+  void ApplyRemoval(const std::string& key, std::chrono::milliseconds now);
+  void ApplyItem(const std::string& key, const std::string& value,
+                 common::Revision revision, std::chrono::milliseconds now);
+  void ApplyConfiguration(PublishedConfiguration configuration,
+                          std::chrono::milliseconds now);
 
   const Publication& publication;
   ItemStore items;
--- a/source/core/view/publication.h
+++ b/source/core/view/publication.h
@@ -1,5 +1,5 @@
-/// How the platform's store is asked and its answers are read. The adapter of
-/// a platform implements this; it translates and decides nothing.
+/// Interface of the adapter for a platform's store. It builds request paths and
+/// decodes responses, and makes no decisions.
 #pragma once
 
 #include <chrono>
@@ -15,43 +15,43 @@
 
 namespace sassafrasdyke::core {
 
-/// A part of a listing. The parts of one listing aren't a snapshot.
+/// One page of a listing. The pages of a listing don't form a snapshot.
 struct ListPage {
   std::vector<Item> items;
   common::Revision at;   ///< The store's revision when it answered.
-  std::string last_key;  ///< Where the next part starts.
-  bool more{false};      ///< There is a next part.
+  std::string last_key;  ///< The next page starts after this key.
+  bool more{false};      ///< There is a next page.
 };
 
-/// Changes, in order.
+/// Changes in the order of their revisions.
 struct ChangeBatch {
   std::vector<Item> changes;
-  common::Revision at;  ///< Every change up to here has been told.
+  common::Revision at;  ///< Every change up to here has been delivered.
 };
 
-/// What an answer's status means.
+/// The meaning of a response's HTTP status.
 enum class StoreStatus {
   kServed,
-  kHistoryGone,  ///< The changes asked for are no longer known; list anew.
-  kRefused,      ///< Nothing was done; ask later.
+  kHistoryGone,  ///< The requested changes were compacted; list again.
+  kRefused,      ///< The call wasn't served; retry later.
 };
 
-/// Why an item can't be used; a sentence for a person.
+/// Why a response or an item can't be decoded, as text for the log.
 using ItemFault = std::string;
 
-/// An item of the store, read.
+/// A decoded item.
 using PublishedItem = std::variant<PublishedConfiguration, PublishedTarget>;
 
-/// The platform's store, as text.
+/// Request paths and response formats of the platform's store.
 class Publication {
  public:
   virtual ~Publication() = default;
 
-  /// The path of a call that lists what is published; `after` is the
-  /// `last_key` of the page before, or empty.
+  /// The path of a request for one page of the listing. `after`: the `last_key`
+  /// of the previous page; empty for the first page.
   virtual std::string ListPath(std::string_view after) const = 0;
-  /// The path of a call that answers once there are changes after `after`, or
-  /// after `wait`.
+  /// The path of a long poll that returns when there are changes after revision
+  /// `after`, and at the latest after `wait`.
   virtual std::string WatchPath(common::Revision after,
                                 std::chrono::milliseconds wait) const = 0;
   virtual StoreStatus StatusOf(unsigned http_status) const = 0;
@@ -59,8 +59,8 @@
       const std::string& body) const = 0;
   virtual tl::expected<ChangeBatch, ItemFault> ReadChanges(
       const std::string& body) const = 0;
-  /// Reads one item. The fault of an item that other writers have left, or
-  /// that isn't of a known kind, is an ordinary outcome.
+  /// Decodes one item. Faults are expected: other programs may write malformed
+  /// items or items of unknown kinds.
   virtual tl::expected<PublishedItem, ItemFault> ReadItem(
       const std::string& key, const std::string& value) const = 0;
 };
--- a/source/core/view/published.h
+++ b/source/core/view/published.h
@@ -1,5 +1,5 @@
-/// What the platform publishes, decoded: targets, routes and limits, as the
-/// decisions need them.
+/// The decoded form of what the platform publishes: targets, routes and their
+/// limits.
 #pragma once
 
 #include <chrono>
@@ -13,26 +13,26 @@
 
 namespace sassafrasdyke::core {
 
-/// The number by which a target recognises datagrams meant for it; a target
-/// that gets another's drops it in silence.
+/// Identifies a target in the datagrams sent to it. A target silently drops a
+/// datagram that carries another target's number.
 using TargetNumber = common::Id<struct TargetNumberTag, std::uint64_t>;
 
 /// One target as it was last published.
 struct PublishedTarget {
   TargetNumber number;
   std::string service;
-  std::string domain;  ///< Its failure domain's name.
+  std::string domain;  ///< The name of its failure domain.
   common::Endpoint address;
-  std::uint32_t slots{1};  ///< Requests it serves at once.
-  bool draining{false};    ///< Keeps its flows and takes no new ones.
-  /// Of the entry's last change; the view sets it.
+  std::uint32_t slots{1};  ///< Requests that it serves concurrently.
+  bool draining{false};    ///< Keeps its flows but accepts no new ones.
+  /// Of the entry's last change. Set by LiveView.
   common::Revision revision = {};
 
   friend bool operator==(const PublishedTarget&,
                          const PublishedTarget&) = default;
 };
 
-/// A service that takes a share of a route's new flows.
+/// A service that receives a share of a route's new flows.
 struct ServiceShare {
   std::string service;
   std::uint32_t weight{1};
@@ -40,17 +40,17 @@
   friend bool operator==(const ServiceShare&, const ServiceShare&) = default;
 };
 
-/// What clients connect to.
+/// An address that clients connect to, and the services behind it.
 struct PublishedRoute {
   common::Endpoint address;
   std::vector<ServiceShare> shares;  ///< Never empty; no weight is 0.
-  /// How soon callers want their answers; nothing if it isn't published.
+  /// Target response time; nothing if none is published.
   std::optional<std::chrono::milliseconds> objective = std::nullopt;
-  /// Routes of a lower rank are more urgent.
+  /// Priority: routes of a lower rank are more urgent.
   std::uint32_t rank{0};
 };
 
-/// One accepted configuration.
+/// One configuration that the platform has accepted.
 struct PublishedConfiguration {
   std::uint64_t version{0};
   std::vector<PublishedRoute> routes;
--- a/source/core/view/route_table.cc
+++ b/source/core/view/route_table.cc
@@ -6,27 +6,28 @@
 namespace sassafrasdyke::core {
 namespace {
 
-/// Of a route that publishes none: the answer before the caller repeats its
-/// SYN.
+/// For routes that publish no objective. A caller that is answered within this
+/// time doesn't retransmit its SYN.
 constexpr std::chrono::milliseconds kDefaultObjective{200};
 
-bool Names(const std::vector<ServiceShare>& shares, std::string_view service) {
+bool Contains(const std::vector<ServiceShare>& shares,
+              std::string_view service) {
   return std::ranges::any_of(shares, [service](const ServiceShare& share) {
     return share.service == service;
   });
 }
 
-/// Adds what `before` used and `after` doesn't.
-void KeepFormer(const Route& before, Route& after,
-                std::chrono::milliseconds now,
-                std::chrono::milliseconds flow_life) {
+/// Records the services that `before` uses and `after` no longer does.
+void AddFormerServices(const Route& before, Route& after,
+                       std::chrono::milliseconds now,
+                       std::chrono::milliseconds flow_life) {
   for (const auto& [service, until] : before.former) {
-    if (until > now && !Names(after.shares, service)) {
+    if (until > now && !Contains(after.shares, service)) {
       after.former.emplace_back(service, until);
     }
   }
   for (const ServiceShare& share : before.shares) {
-    if (!Names(after.shares, share.service)) {
+    if (!Contains(after.shares, share.service)) {
       after.former.emplace_back(share.service, now + flow_life);
     }
   }
@@ -36,7 +37,7 @@
 
 bool Route::MayUse(std::string_view service,
                    std::chrono::milliseconds now) const {
-  if (Names(this->shares, service)) {
+  if (Contains(this->shares, service)) {
     return true;
   }
   return std::ranges::any_of(this->former, [&](const auto& former) {
@@ -66,7 +67,7 @@
     }
     if (const Route* before = this->Find(published.address);
         before != nullptr) {
-      KeepFormer(*before, route, now, this->flow_life);
+      AddFormerServices(*before, route, now, this->flow_life);
     }
   }
   this->routes = std::move(next);
--- a/source/core/view/route_table.h
+++ b/source/core/view/route_table.h
@@ -1,4 +1,4 @@
-/// The routes in force, and the services that a route has used lately.
+/// The routes in force, and the services that they used until recently.
 #pragma once
 
 #include <chrono>
@@ -15,7 +15,8 @@
 
 namespace sassafrasdyke::core {
 
-/// Hashes endpoints for tables that never leave the process.
+/// Hashes endpoints for in-process tables. Instances also rank each other by
+/// this hash, so all of them must compute the same value.
 struct EndpointHash {
   std::size_t operator()(const common::Endpoint& endpoint) const {
     const auto& raw = endpoint.address.Raw();
@@ -23,35 +24,40 @@
   }
 };
 
-/// What became of a configuration.
-enum class ConfigurationOutcome { kInForce, kOlder };
+/// The result of applying a configuration.
+enum class ConfigurationOutcome {
+  kInForce,  ///< It has replaced the previous one.
+  kOlder,    ///< It isn't newer than the one in force, and was ignored.
+};
 
-/// One route.
+/// One route in force.
 struct Route {
   std::vector<ServiceShare> shares;
   std::uint32_t total_weight{0};
-  /// As published; see PublishedRoute.
+  /// These two as published; see PublishedRoute.
   std::optional<std::chrono::milliseconds> objective;
   std::uint32_t rank{0};
-  /// Services that the route no longer names, and until when their flows may
-  /// still be open.
+  /// Services that the route no longer uses, each with the time until which
+  /// flows to its targets may still be open.
   std::vector<std::pair<std::string, std::chrono::milliseconds>> former;
 
-  /// Whether a flow of this route may be at a target of `service`.
+  /// Whether a flow of this route may belong to a target of `service`: the
+  /// route uses the service, or did so within the lifetime of a flow.
   bool MayUse(std::string_view service, std::chrono::milliseconds now) const;
 };
 
-/// How soon callers of the route want their answers.
+/// The route's published response time target, or the default.
 std::chrono::milliseconds ObjectiveOf(const Route& route);
 
-/// The newest configuration. Versions only grow: an instance that has put one
-/// in force never returns to an older one, whoever offers it.
+/// The routes of the newest configuration. An instance never returns to an
+/// older version than the one in force, whatever its source.
 class RouteTable {
  public:
-  /// `flow_life`: the longest that a flow stays open.
+  /// `flow_life`: the maximum lifetime of a flow.
   explicit RouteTable(std::chrono::milliseconds flow_life)
       : flow_life(flow_life) {}
 
+  /// Puts a configuration in force if it is newer than the current one.
   ConfigurationOutcome Replace(PublishedConfiguration configuration,
                                std::chrono::milliseconds now);
 
@@ -59,7 +65,7 @@
   std::uint64_t Version() const { return this->version; }
   std::size_t Size() const { return this->routes.size(); }
   std::chrono::milliseconds FlowLife() const { return this->flow_life; }
-  /// Null when there is no such route.
+  /// The route of this address; null if there is none.
   const Route* Find(const common::Endpoint& address) const;
 
  private:
--- a/source/core/view/store_contact.cc
+++ b/source/core/view/store_contact.cc
@@ -9,24 +9,24 @@
 }
 
 void StoreContact::OnAnswer(std::chrono::milliseconds now) {
-  if (this->SeemsAbsent(now)) {
+  if (this->SeemsUnreachable(now)) {
     this->OnReturn(now);
   }
-  this->away = false;
-  this->answers = true;
-  this->ever_answered = true;
+  this->unreachable = false;
+  this->last_call_served = true;
+  this->ever_served = true;
   this->OnConfirmed(now);
 }
 
 void StoreContact::OnFailure() {
-  this->answers = false;
-  // A store that this instance has never reached isn't known to be away from
-  // the targets; its first listing is taken as it is.
-  this->away = this->away || this->ever_answered;
+  this->last_call_served = false;
+  // If this instance has never reached the store, its failures don't show that
+  // targets can't reach it either. The first listing is then applied as it is.
+  this->unreachable = this->unreachable || this->ever_served;
 }
 
-void StoreContact::OnAbsence() {
-  this->away = this->away || this->confirmed_at.has_value();
+void StoreContact::OnStoreUnreachable() {
+  this->unreachable = this->unreachable || this->confirmed_at.has_value();
 }
 
 void StoreContact::OnReturn(std::chrono::milliseconds at) {
@@ -41,23 +41,24 @@
   return now - *this->confirmed_at;
 }
 
-std::chrono::milliseconds StoreContact::SettledAt() const {
+std::chrono::milliseconds StoreContact::ReregisteredBy() const {
   return this->returned_at ? *this->returned_at + kReturnSettle
                            : std::chrono::milliseconds{0};
 }
 
-std::chrono::milliseconds StoreContact::RemovalDue(
+std::chrono::milliseconds StoreContact::RemovalEffectiveAt(
     std::chrono::milliseconds now) const {
-  return this->SeemsAbsent(now) ? now + kReturnSettle : this->SettledAt();
+  return this->SeemsUnreachable(now) ? now + kReturnSettle
+                                     : this->ReregisteredBy();
 }
 
 bool StoreContact::LapseLikely(std::chrono::milliseconds now) const {
-  return this->SeemsAbsent(now) || now < this->SettledAt();
+  return this->SeemsUnreachable(now) || now < this->ReregisteredBy();
 }
 
-bool StoreContact::SeemsAbsent(std::chrono::milliseconds now) const {
-  return this->away && this->confirmed_at &&
-         now - *this->confirmed_at > kHarmlessAbsence;
+bool StoreContact::SeemsUnreachable(std::chrono::milliseconds now) const {
+  return this->unreachable && this->confirmed_at &&
+         now - *this->confirmed_at > kMaxHarmlessOutage;
 }
 
 }  // namespace sassafrasdyke::core
--- a/source/core/view/store_contact.h
+++ b/source/core/view/store_contact.h
@@ -1,5 +1,5 @@
-/// What is known of the store's presence: how old the view is, and whether the
-/// store has just come back.
+/// Tracks the reachability of the store: the age of the view, and whether an
+/// outage of the store may have let entries of live targets expire.
 #pragma once
 
 #include <chrono>
@@ -7,56 +7,65 @@
 
 namespace sassafrasdyke::core {
 
-/// How long after the store's return targets that lapsed meanwhile may take to
-/// register again. The platform says about two seconds; half a second more
-/// covers the lag of a watch.
+/// How long after an outage of the store targets whose entries have expired may
+/// take to register again. The platform states about two seconds; the extra
+/// half a second covers the delay of a watch.
 inline constexpr std::chrono::milliseconds kReturnSettle{2500};
-/// An absence no longer than this lets no entry lapse: entries live for three
-/// heartbeats, at least 2 s. It is also longer than the longest pause between
-/// two answers to a reader, so a quiet store doesn't look absent.
-inline constexpr std::chrono::milliseconds kHarmlessAbsence{1800};
+/// No entry expires in an outage of up to this length: entries live for three
+/// heartbeats, at least 2 s. It also exceeds the longest time between two
+/// responses to a reader, so that a store without changes doesn't seem
+/// unreachable.
+inline constexpr std::chrono::milliseconds kMaxHarmlessOutage{1800};
 
-/// Times are monotonic, since process start.
+/// What an instance knows of the store's reachability, from its own calls and
+/// from peers. Times are monotonic, since process start.
 class StoreContact {
  public:
-  /// The store answered, to this instance or to one whose view this one shares.
+  /// At time `at` the store confirmed the current revision to this instance or
+  /// to a peer at the same revision.
   void OnConfirmed(std::chrono::milliseconds at);
   /// This instance's own call was served.
   void OnAnswer(std::chrono::milliseconds now);
-  /// This instance's own call was refused, lost or not answered.
+  /// This instance's own call was refused, lost or timed out.
   void OnFailure();
-  /// This instance reads no longer itself.
-  void OnIdle() { this->answers = false; }
-  /// Another instance can't reach the store.
-  void OnAbsence();
-  /// Another instance saw the store return at `at`.
+  /// This instance has stopped reading the store itself.
+  void OnReadingStopped() { this->last_call_served = false; }
+  /// A peer reports that it can't reach the store.
+  void OnStoreUnreachable();
+  /// The store became reachable again at time `at`, after an outage that may
+  /// have let entries expire.
   void OnReturn(std::chrono::milliseconds at);
 
   /// Whether this instance's own last call was served.
-  bool Answers() const { return this->answers; }
-  /// How old the view may be; nothing before the first confirmation.
+  bool LastCallServed() const { return this->last_call_served; }
+  /// The time since the view was last confirmed; nothing before the first
+  /// confirmation.
   std::optional<std::chrono::milliseconds> Age(
       std::chrono::milliseconds now) const;
-  /// When a removal that is seen at `now`, and may be a lapse, is to be
-  /// believed.
-  std::chrono::milliseconds RemovalDue(std::chrono::milliseconds now) const;
-  /// When the store last came back; nothing if it was never seen away.
+  /// When to apply a removal that is seen at `now` and may be the expiry of a
+  /// live target's entry.
+  std::chrono::milliseconds RemovalEffectiveAt(
+      std::chrono::milliseconds now) const;
+  /// The end of the last outage; nothing if there was none.
   std::optional<std::chrono::milliseconds> ReturnedAt() const {
     return this->returned_at;
   }
-  /// Whether a removal seen at `now` may be such a lapse.
+  /// Whether a removal seen at `now` may be the expiry of an entry during an
+  /// outage of the store, although the target still serves.
   bool LapseLikely(std::chrono::milliseconds now) const;
 
  private:
-  /// Until when targets may take to register again.
-  std::chrono::milliseconds SettledAt() const;
-  /// Whether nobody has heard of the store for long enough to let entries
-  /// lapse. A store that refuses only this instance isn't away: peers confirm.
-  bool SeemsAbsent(std::chrono::milliseconds now) const;
+  /// The time by which targets have registered again after the last outage.
+  std::chrono::milliseconds ReregisteredBy() const;
+  /// Whether neither this instance nor its peers have reached the store for so
+  /// long that entries may have expired. If the store refuses only this
+  /// instance, confirmations from peers keep this false.
+  bool SeemsUnreachable(std::chrono::milliseconds now) const;
 
-  bool answers{false};
-  bool ever_answered{false};
-  bool away{false};
+  bool last_call_served{false};
+  bool ever_served{false};
+  /// Reported unreachable since the last own call that was served.
+  bool unreachable{false};
   std::optional<std::chrono::milliseconds> confirmed_at;
   std::optional<std::chrono::milliseconds> returned_at;
 };
--- a/source/core/view/target_table.cc
+++ b/source/core/view/target_table.cc
@@ -13,8 +13,8 @@
 }  // namespace
 
 TargetWord WordFor(TargetNumber number) {
-  // A short number is its own word, which keeps logs readable and can't
-  // collide with another short one. Longer ones are hashed.
+  // A number that fits into a word is used as it is. That keeps logs readable,
+  // and two such numbers can't collide. Larger ones are hashed.
   if (number.value != 0 && number.value <= UINT32_MAX) {
     return {static_cast<std::uint32_t>(number.value)};
   }
@@ -44,23 +44,23 @@
                           std::chrono::milliseconds now) {
   const TargetIndex index = this->IndexFor(name, target);
   TargetEntry& entry = this->entries.at(index);
-  // Before the entry changes: its list is found by the service and domain that
-  // it had.
-  this->Unlist(index, entry);
+  // Must come before the entry changes: the list is found by its old service
+  // and domain.
+  this->RemoveFromServing(index, entry);
   entry.published = target;
-  entry.removal_due.reset();
+  entry.removal_effective_at.reset();
   const TargetPhase phase = this->PhaseOf(index, entry);
   entry.replaced = !this->ClaimAddress(index, now);
   if (entry.replaced) {
-    this->Retire(index, entry, now);
+    this->MarkGone(index, entry, now);
   } else {
     this->SetPhase(index, entry, phase);
   }
 }
 
 TargetPhase TargetTable::PhaseOf(TargetIndex index, const TargetEntry& entry) {
-  // Of two targets with one word the one that was there first keeps it: flows
-  // that carry it are its flows, and a packet sent to the other would end them.
+  // If two targets have the same word, the earlier one keeps it. Flows that
+  // carry the word belong to it; the other target would reset them.
   const auto [owner, added] = this->by_word.try_emplace(entry.word, index);
   const bool ended = owner->second != index &&
                      this->At(owner->second).phase == TargetPhase::kGone;
@@ -74,10 +74,11 @@
                                   : TargetPhase::kServing;
 }
 
-// An address is used again only after its target has ended. The entry of a
-// target that crashed stays published for some heartbeats; its flows would wait
-// for nobody until then, though the successor proves the end. A listing holds
-// both entries in any order, so their revisions tell which is the successor.
+// The platform reuses an address only after its target has ended. The entry of
+// a crashed target stays published for some heartbeats, and its flows would
+// hang for that time although the successor's entry proves that it has ended. A
+// listing holds both entries in any order, so their revisions decide which one
+// is the successor.
 bool TargetTable::ClaimAddress(TargetIndex index,
                                std::chrono::milliseconds now) {
   const PublishedTarget& target = this->At(index).published;
@@ -93,7 +94,7 @@
       return false;
     }
     other.replaced = true;
-    this->Retire(holder->second, other, now);
+    this->MarkGone(holder->second, other, now);
   }
   holder->second = index;
   return true;
@@ -103,7 +104,7 @@
   if (const auto found = this->by_name.find(name);
       found != this->by_name.end()) {
     TargetEntry& entry = this->entries.at(found->second);
-    entry.removal_due.reset();
+    entry.removal_effective_at.reset();
     if (entry.phase != TargetPhase::kGone) {
       this->SetPhase(found->second, entry, TargetPhase::kUnreadable);
     }
@@ -121,42 +122,43 @@
     return;
   }
   if (due) {
-    entry.removal_due = due;
-    this->ending.insert(found->second);
+    entry.removal_effective_at = due;
+    this->expiring.insert(found->second);
     return;
   }
-  this->Retire(found->second, entry, now);
+  this->MarkGone(found->second, entry, now);
 }
 
-void TargetTable::Retire(TargetIndex index, TargetEntry& entry,
-                         std::chrono::milliseconds now) {
-  entry.removal_due.reset();
+void TargetTable::MarkGone(TargetIndex index, TargetEntry& entry,
+                           std::chrono::milliseconds now) {
+  entry.removal_effective_at.reset();
   entry.gone_at = now;
-  this->ending.insert(index);
+  this->expiring.insert(index);
   this->SetPhase(index, entry, TargetPhase::kGone);
 }
 
 void TargetTable::Expire(std::chrono::milliseconds now,
                          std::chrono::milliseconds confirmed_at) {
-  std::vector<TargetIndex> done;
-  std::vector<TargetIndex> old;
-  for (const TargetIndex index : this->ending) {
+  std::vector<TargetIndex> republished;
+  std::vector<TargetIndex> outdated;
+  for (const TargetIndex index : this->expiring) {
     TargetEntry& entry = this->entries.at(index);
-    if (entry.removal_due && *entry.removal_due <= confirmed_at) {
-      this->Retire(index, entry, now);
+    if (entry.removal_effective_at &&
+        *entry.removal_effective_at <= confirmed_at) {
+      this->MarkGone(index, entry, now);
     }
     const bool gone = entry.phase == TargetPhase::kGone;
-    if (!gone && !entry.removal_due) {
-      done.push_back(index);
-    } else if (gone && entry.gone_at + this->gone_kept < now) {
-      old.push_back(index);
+    if (!gone && !entry.removal_effective_at) {
+      republished.push_back(index);
+    } else if (gone && entry.gone_at + this->gone_retention < now) {
+      outdated.push_back(index);
     }
   }
-  for (const TargetIndex index : done) {
-    this->ending.erase(index);
+  for (const TargetIndex index : republished) {
+    this->expiring.erase(index);
   }
-  for (const TargetIndex index : old) {
-    this->Forget(index);
+  for (const TargetIndex index : outdated) {
+    this->Erase(index);
   }
 }
 
@@ -204,8 +206,8 @@
   return std::exchange(this->changes, {});
 }
 
-std::vector<TargetIndex> TargetTable::TakeForgotten() {
-  return std::exchange(this->forgotten, {});
+std::vector<TargetIndex> TargetTable::TakeErased() {
+  return std::exchange(this->erased, {});
 }
 
 TargetIndex TargetTable::IndexFor(const std::string& name,
@@ -219,7 +221,8 @@
   entry.name = name;
   entry.published = target;
   entry.word = WordFor(target.number);
-  entry.phase = TargetPhase::kGone;  // Until its first phase is set and told.
+  // So that SetPhase() reports the first phase as a change.
+  entry.phase = TargetPhase::kGone;
   this->by_name[name] = index;
   return index;
 }
@@ -228,7 +231,7 @@
                            TargetPhase phase) {
   const bool same = entry.phase == phase;
   entry.phase = phase;
-  this->Unlist(index, entry);
+  this->RemoveFromServing(index, entry);
   if (phase == TargetPhase::kServing) {
     this->serving[entry.published.service][entry.published.domain].push_back(
         index);
@@ -239,7 +242,8 @@
   }
 }
 
-void TargetTable::Unlist(TargetIndex index, const TargetEntry& entry) {
+void TargetTable::RemoveFromServing(TargetIndex index,
+                                    const TargetEntry& entry) {
   const auto service = this->serving.find(entry.published.service);
   if (service == this->serving.end()) {
     return;
@@ -254,7 +258,7 @@
   }
 }
 
-void TargetTable::Forget(TargetIndex index) {
+void TargetTable::Erase(TargetIndex index) {
   const auto found = this->entries.find(index);
   const TargetEntry& entry = found->second;
   this->by_name.erase(entry.name);
@@ -267,8 +271,8 @@
     this->by_address.erase(address);
   }
   this->entries.erase(found);
-  this->ending.erase(index);
-  this->forgotten.push_back(index);
+  this->expiring.erase(index);
+  this->erased.push_back(index);
 }
 
 }  // namespace sassafrasdyke::core
--- a/source/core/view/target_table.h
+++ b/source/core/view/target_table.h
@@ -1,5 +1,5 @@
-/// Every target that flows may be at: published ones, those that are leaving,
-/// and for a while those that are gone.
+/// All targets that flows may belong to: published ones, draining ones, and,
+/// for the lifetime of a flow, those that have ended.
 #pragma once
 
 #include <chrono>
@@ -17,119 +17,126 @@
 
 namespace sassafrasdyke::core {
 
-/// What a flow carries to name its target. 0 names none.
+/// A 32-bit ID that a flow's packets carry to identify its target. 0: none.
 using TargetWord = common::Id<struct TargetWordTag, std::uint32_t>;
 
-/// The word for a target; all instances compute the same.
+/// Derives a target's word from its number. All instances derive the same one.
 TargetWord WordFor(TargetNumber number);
 
-/// What may be done with a target.
+/// The state of a target, which decides which flows it may get.
 enum class TargetPhase : std::uint8_t {
-  kServing,     ///< Takes new flows.
-  kDraining,    ///< Keeps its flows.
+  kServing,     ///< Accepts new flows.
+  kDraining,    ///< Keeps its flows but accepts no new ones.
   kUnreadable,  ///< Its entry can't be read any more; keeps its flows.
   kShadowed,    ///< Another target has the same word; keeps its flows.
-  kGone,        ///< Surely ended: its flows have nobody to answer them.
+  kGone,        ///< Has certainly ended: nobody answers its flows.
 };
 
-/// The log's word for a phase.
+/// The name of a phase in the log.
 std::string_view Word(TargetPhase phase);
 
-/// One target.
+/// A target and its state.
 struct TargetEntry {
-  std::string name;  ///< As it is published.
+  std::string name;  ///< The key of its published entry.
   PublishedTarget published;
   TargetWord word;
   TargetPhase phase{TargetPhase::kServing};
-  /// When a removal that may be a lapse is to be believed; nothing otherwise.
-  std::optional<std::chrono::milliseconds> removal_due;
+  /// When a deferred removal takes effect; nothing if there is none. Removals
+  /// are deferred if the entry may have expired while the target still serves.
+  std::optional<std::chrono::milliseconds> removal_effective_at;
   std::chrono::milliseconds gone_at{0};
-  /// Gone for certain: another target has its address.
+  /// Another target has its address, so it has certainly ended.
   bool replaced{false};
 };
 
-/// Position of an entry; valid until the entry is forgotten.
+/// Key of an entry; valid until the entry is erased.
 using TargetIndex = common::Id<struct TargetIndexTag>;
 
-/// A change that an operator may want to see.
+/// A change of a target's phase, for the log.
 struct TargetChange {
   TargetIndex target;
   std::string name;
   std::string service;
   TargetPhase phase{TargetPhase::kServing};
-  bool replaced{false};  ///< Gone for certain: another has its address.
+  bool replaced{false};  ///< See TargetEntry.
 };
 
-/// Targets of one service that take new flows, by failure domain; no list is
+/// Targets of one service that accept new flows, by failure domain. No list is
 /// empty.
 using ServingTargets =
     std::map<std::string, std::vector<TargetIndex>, std::less<>>;
 
-/// Targets by name and by word.
+/// Targets, indexed by name, word, address and service.
 class TargetTable {
  public:
-  /// `gone_kept`: how long flows of a target that is gone may still come.
-  explicit TargetTable(std::chrono::milliseconds gone_kept)
-      : gone_kept(gone_kept) {}
+  /// `gone_retention`: how long packets for a target that has ended may still
+  /// arrive.
+  explicit TargetTable(std::chrono::milliseconds gone_retention)
+      : gone_retention(gone_retention) {}
 
-  /// Takes a published entry.
+  /// Adds or updates a published entry.
   void Publish(const std::string& name, const PublishedTarget& target,
                std::chrono::milliseconds now);
-  /// The entry can't be read: it takes no new flows, and keeps those it has.
+  /// The entry can't be decoded: the target gets no new flows and keeps its
+  /// open ones.
   void MarkUnreadable(const std::string& name);
-  /// The entry was removed. With `due` it counts only from then on, if it
-  /// hasn't come back.
+  /// The entry was removed. With `due` the removal takes effect only at that
+  /// time, unless the entry is published again before.
   void Remove(const std::string& name, std::chrono::milliseconds now,
               std::optional<std::chrono::milliseconds> due);
-  /// Believes removals that were due when the view was last confirmed, and
-  /// forgets targets gone for long. An instance that has lost touch since the
-  /// removal can't know whether the target has registered again; it goes on
-  /// using it rather than resetting flows that are served.
+  /// Applies deferred removals that were due when the view was last confirmed,
+  /// and erases targets that ended long ago. An instance that has been
+  /// disconnected since the removal can't know whether the target has
+  /// registered again. It goes on using the target, since it might otherwise
+  /// reset flows that are served.
   void Expire(std::chrono::milliseconds now,
               std::chrono::milliseconds confirmed_at);
 
-  /// Null when no target has the word.
+  /// The target with this word; null if there is none.
   const TargetEntry* Find(TargetWord word) const;
   const TargetEntry& At(TargetIndex index) const {
     return this->entries.at(index);
   }
   bool Has(TargetIndex index) const { return this->entries.contains(index); }
   std::optional<TargetIndex> IndexOf(TargetWord word) const;
-  /// Targets of the service that take new flows. By domain, since a new flow is
-  /// placed for each of thousands of targets and hardly ever leaves its domain.
+  /// Targets of the service that accept new flows, by domain: placing a
+  /// new flow examines each of up to thousands of targets, and hardly ever
+  /// needs those of another domain.
   const ServingTargets& ServingByDomain(const std::string& service) const;
-  /// The same, of all domains.
+  /// Targets of the service that accept new flows, in all domains.
   std::vector<TargetIndex> Serving(const std::string& service) const;
+  /// The number of targets of all services that accept new flows.
   std::size_t ServingCount() const;
 
-  /// Takes the changes since the last call.
+  /// Returns the changes since the last call.
   std::vector<TargetChange> TakeChanges();
-  /// Takes the targets that were forgotten since the last call.
-  std::vector<TargetIndex> TakeForgotten();
+  /// Returns the targets that were erased since the last call.
+  std::vector<TargetIndex> TakeErased();
 
  private:
   TargetIndex IndexFor(const std::string& name, const PublishedTarget& target);
   TargetPhase PhaseOf(TargetIndex index, const TargetEntry& entry);
   void SetPhase(TargetIndex index, TargetEntry& entry, TargetPhase phase);
-  void Unlist(TargetIndex index, const TargetEntry& entry);
-  /// Of two targets at one address the entry that changed last names the one
-  /// that lives. Returns whether that is the target at `index`.
+  void RemoveFromServing(TargetIndex index, const TargetEntry& entry);
+  /// Resolves two targets with the same address: the one whose entry changed
+  /// last is alive, the other has ended. Returns whether the target at `index`
+  /// is alive.
   bool ClaimAddress(TargetIndex index, std::chrono::milliseconds now);
-  void Retire(TargetIndex index, TargetEntry& entry,
-              std::chrono::milliseconds now);
-  void Forget(TargetIndex index);
+  void MarkGone(TargetIndex index, TargetEntry& entry,
+                std::chrono::milliseconds now);
+  void Erase(TargetIndex index);
 
-  std::chrono::milliseconds gone_kept;
+  std::chrono::milliseconds gone_retention;
   std::unordered_map<TargetIndex, TargetEntry> entries;
   std::unordered_map<std::string, TargetIndex> by_name;
   std::unordered_map<TargetWord, TargetIndex> by_word;
   std::unordered_map<common::Endpoint, TargetIndex, EndpointHash> by_address;
   std::unordered_map<std::string, ServingTargets> serving;
-  /// Gone, or to be believed gone soon: looked at ten times a second, while
-  /// thousands of others stay as they are.
-  std::unordered_set<TargetIndex> ending;
+  /// Targets that are gone or whose removal is deferred. Kept apart, so that
+  /// Expire(), called ten times a second, needn't scan thousands of others.
+  std::unordered_set<TargetIndex> expiring;
   std::vector<TargetChange> changes;
-  std::vector<TargetIndex> forgotten;
+  std::vector<TargetIndex> erased;
   std::uint32_t last_index{0};
 };
 
--- a/source/front/flow_port.cc
+++ b/source/front/flow_port.cc
@@ -49,7 +49,7 @@
   this->NotePause();
   const milliseconds now = this->context.clock.Now();
   for (const core::TargetIndex target :
-       this->context.view.Targets().TakeForgotten()) {
+       this->context.view.Targets().TakeErased()) {
     this->steering.Forget(target);
   }
   this->steering.OnTick(now);
--- a/source/front/front_process.cc
+++ b/source/front/front_process.cc
@@ -63,8 +63,9 @@
   return peers;
 }
 
-core::NewsPace PaceOf(const config::FrontSettings& settings) {
-  return core::NewsPace(std::min(settings.times.apply, settings.times.drain));
+core::PropagationScale PaceOf(const config::FrontSettings& settings) {
+  return core::PropagationScale(
+      std::min(settings.times.apply, settings.times.drain));
 }
 
 /// The whole instance.
@@ -286,7 +287,7 @@
   this->view.OnListing(std::move(items), at, this->Now());
   this->metrics.OnApplied(std::chrono::steady_clock::now() - started);
   this->LogViewChanges(core::ViewSource::kStore);
-  this->exchange->Act(this->sync.OnStoreNews(before, this->Now()));
+  this->exchange->Act(this->sync.OnStoreRead(before, this->Now()));
 }
 
 void FrontProcess::OnStoreChanges(core::ChangeBatch batch) {
@@ -296,14 +297,15 @@
   this->view.OnChanges(std::move(batch), this->Now());
   this->metrics.OnApplied(std::chrono::steady_clock::now() - started);
   this->LogViewChanges(core::ViewSource::kStore);
-  this->exchange->Act(this->sync.OnStoreNews(before, this->Now()));
+  this->exchange->Act(this->sync.OnStoreRead(before, this->Now()));
 }
 
 void FrontProcess::OnStoreAnswer() {
   const milliseconds now = this->Now();
   this->view.Contact().OnAnswer(now);
   if (!this->reading) {
-    this->view.Contact().OnIdle();  // The last call of a reading that ended.
+    // The last call of a reading that ended.
+    this->view.Contact().OnReadingStopped();
   }
   if (std::exchange(this->store_answered, true) != true) {
     this->log.OnNote("store-regained", {}, now);
@@ -333,7 +335,7 @@
   if (reads) {
     this->reader.HasRevision(this->view.Items().Complete());
   } else {
-    this->view.Contact().OnIdle();
+    this->view.Contact().OnReadingStopped();
   }
   this->reader.SetReading(wanted);
   LineFields fields{{"members", this->sync.Members().Size()},
--- a/source/front/peer_codec.cc
+++ b/source/front/peer_codec.cc
@@ -85,12 +85,12 @@
   return time ? Json(Millis(*time)) : Json(nullptr);
 }
 
-Json Write(const core::ViewMark& mark) {
+Json Write(const core::ViewStatus& mark) {
   return Json::array({mark.complete.value, Optional(mark.age),
                       Optional(mark.store_returned_ago)});
 }
 
-bool Read(const Json& json, core::ViewMark& mark) {
+bool Read(const Json& json, core::ViewStatus& mark) {
   ArrayReader reader(json, 3);
   mark.complete = {reader.Number()};
   mark.age = reader.OptionalTime();
@@ -245,7 +245,7 @@
       Json::array({kDigestVersion, digest.sender.ToString(), digest.domain,
                    digest.leaving, digest.wants_answer, Write(digest.view),
                    digest.changes ? Write(*digest.changes) : Json(),
-                   Write(digest.known), Write(digest.pass_on)});
+                   Write(digest.known), Write(digest.relay_to)});
   return Json::to_msgpack(json);
 }
 
@@ -267,7 +267,7 @@
     return std::nullopt;
   }
   const bool known_good = Read(reader.Next(), digest.known);
-  const bool pass_on_good = Read(reader.Next(), digest.pass_on);
+  const bool pass_on_good = Read(reader.Next(), digest.relay_to);
   if (!reader.Good() || !view_good || !known_good || !pass_on_good) {
     return std::nullopt;
   }
@@ -284,7 +284,7 @@
   return WithSize(plain.size(), packed);
 }
 
-std::string EncodeCopy(const core::ViewMark& mark, const std::string& items) {
+std::string EncodeCopy(const core::ViewStatus& mark, const std::string& items) {
   std::string head;
   Json::to_msgpack(Json::array({kCopyVersion, Write(mark)}), head);
   return WithSize(head.size(), head + items);
--- a/source/front/peer_codec.h
+++ b/source/front/peer_codec.h
@@ -14,7 +14,7 @@
 
 /// A view, or what another one lacks, as it goes over a stream.
 struct ViewCopy {
-  core::ViewMark mark;
+  core::ViewStatus mark;
   core::ItemDelta delta;
 };
 
@@ -27,7 +27,7 @@
 /// on a small link a copy that isn't compressed delays clients' packets.
 std::string EncodeItems(const core::ItemDelta& delta);
 /// A copy around items that were encoded before.
-std::string EncodeCopy(const core::ViewMark& mark, const std::string& items);
+std::string EncodeCopy(const core::ViewStatus& mark, const std::string& items);
 std::optional<ViewCopy> DecodeCopy(const std::string& bytes);
 
 }  // namespace sassafrasdyke::front
--- a/source/front/peer_exchange.cc
+++ b/source/front/peer_exchange.cc
@@ -169,13 +169,13 @@
 
 std::string PeerExchange::CopySince(common::Revision have) {
   if (have.value != 0) {
-    return EncodeCopy(this->sync.Mark(this->clock.Now()),
+    return EncodeCopy(this->sync.Status(this->clock.Now()),
                       EncodeItems(this->view.Items().Since(have)));
   }
   const PackedView& packed = this->WholeView();
   // Older by the time that it has been kept.
   const std::chrono::milliseconds kept = this->clock.Now() - packed.at;
-  core::ViewMark mark = packed.mark;
+  core::ViewStatus mark = packed.mark;
   if (mark.age) {
     *mark.age += kept;
   }
@@ -188,7 +188,7 @@
 const PeerExchange::PackedView& PeerExchange::WholeView() {
   const std::chrono::milliseconds now = this->clock.Now();
   if (!this->whole || now - this->whole->at > kPackedFor) {
-    this->whole = PackedView{now, this->sync.Mark(now),
+    this->whole = PackedView{now, this->sync.Status(now),
                              EncodeItems(this->view.Items().Since({0}))};
   }
   return *this->whole;
--- a/source/front/peer_exchange.h
+++ b/source/front/peer_exchange.h
@@ -77,7 +77,7 @@
   /// A whole view as it was sent last.
   struct PackedView {
     std::chrono::milliseconds at{0};
-    core::ViewMark mark;
+    core::ViewStatus mark;
     std::string items;
   };
   const PackedView& WholeView();
--- a/source/front/store_reader.cc
+++ b/source/front/store_reader.cc
@@ -11,13 +11,13 @@
 
 }  // namespace
 
-StoreLimits StoreLimitsFor(const core::NewsPace& pace) {
+StoreLimits StoreLimitsFor(const core::PropagationScale& pace) {
   StoreLimits limits;
-  limits.wait = pace.Of(limits.wait);
-  limits.slack = pace.Of(limits.slack);
-  limits.longest_retry = pace.Of(limits.longest_retry);
-  limits.longest_substitute_retry = pace.Of(limits.longest_substitute_retry);
-  limits.pace = pace.Of(limits.pace);
+  limits.wait = pace.Apply(limits.wait);
+  limits.slack = pace.Apply(limits.slack);
+  limits.longest_retry = pace.Apply(limits.longest_retry);
+  limits.longest_substitute_retry = pace.Apply(limits.longest_substitute_retry);
+  limits.pace = pace.Apply(limits.pace);
   return limits;
 }
 
--- a/source/front/store_reader.h
+++ b/source/front/store_reader.h
@@ -13,8 +13,8 @@
 #include "common/address.h"
 #include "core/fleet/backoff.h"
 #include "core/fleet/jitter.h"
-#include "core/roster/news_pace.h"
 #include "core/roster/peer_sync.h"
+#include "core/roster/propagation_scale.h"
 #include "core/view/publication.h"
 #include "http/get_connection.h"
 
@@ -54,7 +54,7 @@
 };
 
 /// The limits at a pace.
-StoreLimits StoreLimitsFor(const core::NewsPace& pace);
+StoreLimits StoreLimitsFor(const core::PropagationScale& pace);
 
 /// How long to wait after failures.
 core::BackoffLimits RetriesFor(const StoreLimits& limits,
--- a/tests/core/roster/delta_parts_test.cc
+++ b/tests/core/roster/delta_parts_test.cc
@@ -1,4 +1,4 @@
-/// How changes are cut to the size of a digest.
+/// Tests splitting changes into parts that fit into digests.
 #include "core/roster/delta_parts.h"
 
 #include <boost/test/data/monomorphic.hpp>
@@ -44,9 +44,8 @@
   return size;
 }
 
-// Ten targets start within a second. Whoever hears of it in parts must end with
-// the same view as from a copy, and one that misses a part must notice: with a
-// hole in its view it would take a target that is leaving for one that serves.
+// Guards against parts that exceed a digest, or that leave the receiver with
+// another view than a copy would.
 BOOST_DATA_TEST_CASE(parts_bring_a_view_up_to_date, kParts, row) {
   ItemStore sender;
   sender.Replace({{"configuration", {1}, "x"}}, {1});
@@ -62,7 +61,7 @@
 
   BOOST_TEST(parts.size() == row.parts);
   for (const ItemDelta& part : parts) {
-    BOOST_TEST(SizeOf(part) <= kMostInlineBytes);
+    BOOST_TEST(SizeOf(part) <= kMaxInlineBytes);
     receiver.Apply(part);
   }
   if (row.parts > 0) {
@@ -71,7 +70,9 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(a_lost_part_leaves_a_gap_that_shows) {
+// Guards against an undetected gap in the view when a part is lost: the
+// receiver would send new flows to a target that is draining.
+BOOST_AUTO_TEST_CASE(a_lost_part_leaves_a_detectable_gap) {
   ItemStore sender;
   sender.Replace({{"configuration", {1}, "x"}}, {1});
   ItemStore receiver = sender;
--- a/tests/core/roster/fleet_start.cc
+++ b/tests/core/roster/fleet_start.cc
@@ -28,7 +28,7 @@
 constexpr double kSmallPageBytes = 20e3;
 constexpr double kCopyBytes = 92e3;
 constexpr double kSmallCopyBytes = 4e3;
-constexpr std::size_t kMostCopies = 3;
+constexpr std::size_t kMaxCopies = 3;
 constexpr std::size_t kSeeds = 3;
 constexpr std::uint32_t kFirstAddress = 0x0A000001;
 constexpr std::uint64_t kRevision = 100;
@@ -57,7 +57,7 @@
     const std::size_t domain = id % start.domains;
     node->sync = std::make_unique<PeerSync>(
         RosterSelf{AddressOf(id), "domain-" + std::to_string(domain)}, seeds,
-        node->view, SyncLimitsFor(NewsPace(kKnownWithin)), seed);
+        node->view, SyncLimitsFor(PropagationScale(kKnownWithin)), seed);
     node->starts_at = this->jitter.UpTo(kStartSpread);
     node->refused =
         domain < start.refused_domains || this->Chance(start.instances_refused);
@@ -226,7 +226,7 @@
     node.view.OnPeerItems(this->store.Since({0}), uptime);
   }
   node.view.Contact().OnAnswer(uptime);
-  this->Dispatch(id, node.sync->OnStoreNews(before, uptime));
+  this->Dispatch(id, node.sync->OnStoreRead(before, uptime));
   this->NoteUsable(id);
 }
 
@@ -242,11 +242,11 @@
         return one->copy && one->copy->from == source_id && !one->copy->refused;
       });
   copy.refused = !source.view.Usable() ||
-                 static_cast<std::size_t>(active_copies) >= kMostCopies;
+                 static_cast<std::size_t>(active_copies) >= kMaxCopies;
   if (!copy.refused) {
     copy.bytes.bytes = this->start.large_view ? kCopyBytes : kSmallCopyBytes;
     copy.delta = source.view.Items().Since({0});
-    copy.mark = source.sync->Mark(this->now - source.starts_at);
+    copy.status = source.sync->Status(this->now - source.starts_at);
     source.receivers.push_back(receiver);
   }
   node.copy = std::move(copy);
@@ -293,7 +293,7 @@
   if (!copy.refused) {
     const Time uptime = this->now - node.starts_at;
     this->Dispatch(
-        id, node.sync->OnPulled(std::move(copy.delta), copy.mark, uptime));
+        id, node.sync->OnPulled(std::move(copy.delta), copy.status, uptime));
     this->NoteUsable(id);
     return;
   }
--- a/tests/core/roster/fleet_start.h
+++ b/tests/core/roster/fleet_start.h
@@ -67,7 +67,7 @@
     NodeId from{0};
     bool refused{false};
     ItemDelta delta;
-    ViewMark mark;
+    ViewStatus status;
   };
   struct Node {
     explicit Node(const Publication& publication, std::uint64_t seed)
@@ -81,7 +81,7 @@
     Time starts_at{0};
     bool started{false};
     bool refused{false};
-    bool reading_checked{false};  ///< After `kFirstReadingCheck`.
+    bool reading_checked{false};  ///< At `SyncLimits::probe_after`.
     std::optional<Time> usable_at;
     std::size_t pages{0};  ///< Of the listing, received so far.
     std::optional<Call> call;
--- a/tests/core/roster/peer_sync_test.cc
+++ b/tests/core/roster/peer_sync_test.cc
@@ -1,4 +1,4 @@
-/// A fleet that exchanges its views while the store and peers fail.
+/// Tests how a fleet synchronizes its views while the store and peers fail.
 #include "core/roster/peer_sync.h"
 
 #include <boost/test/data/monomorphic.hpp>
@@ -19,7 +19,7 @@
 using std::chrono::milliseconds;
 
 constexpr milliseconds kTick = 100ms;
-/// How often a reader hears from the store when nothing is new.
+/// How often a reader hears from the store if there are no changes.
 constexpr milliseconds kWatch = 1500ms;
 
 common::Endpoint AddressOf(std::size_t instance) {
@@ -28,12 +28,13 @@
           7720};
 }
 
-/// Instances in domains of equal size, with the first ones as seeds.
+/// Simulates a store and instances in domains of equal size. The first three
+/// instances are the seeds.
 class Fleet {
  public:
   Fleet(std::size_t size, std::size_t domains,
         milliseconds known_within = 3000ms, std::uint64_t seed = 0)
-      : pace(known_within) {
+      : scale(known_within) {
     std::vector<common::Endpoint> seeds;
     for (std::size_t i = 0; i < std::min<std::size_t>(3, size); ++i) {
       seeds.push_back(AddressOf(i));
@@ -42,9 +43,9 @@
       auto node = std::make_unique<Node>(publication);
       node->sync = std::make_unique<PeerSync>(
           RosterSelf{AddressOf(i), "domain-" + std::to_string(i % domains)},
-          seeds, node->view, SyncLimitsFor(this->pace), seed + i);
+          seeds, node->view, SyncLimitsFor(this->scale), seed + i);
       this->nodes.push_back(std::move(node));
-      this->Carry(i, this->nodes[i]->sync->OnStart(0ms));
+      this->Send(i, this->nodes[i]->sync->OnStart(0ms));
     }
   }
 
@@ -53,12 +54,12 @@
 
     LiveView view;
     std::unique_ptr<PeerSync> sync;
-    bool refused{false};  ///< The store doesn't serve it.
+    bool refused{false};  ///< The store refuses its calls.
     bool dead{false};
     milliseconds heard_at{-10s};
     std::uint64_t calls{0};
     std::uint64_t digests{0};  ///< Sent.
-    std::uint64_t copies{0};   ///< Given over a stream.
+    std::uint64_t copies{0};   ///< Sent.
   };
 
   Node& At(std::size_t instance) { return *this->nodes[instance]; }
@@ -75,14 +76,14 @@
       for (std::size_t i = 0; i < this->nodes.size(); ++i) {
         if (!this->nodes[i]->dead) {
           this->Read(i);
-          this->Carry(i, this->nodes[i]->sync->OnTick(this->now));
+          this->Send(i, this->nodes[i]->sync->OnTick(this->now));
         }
       }
       this->Deliver();
     }
   }
 
-  /// Instances whose view is up to the store's, of those that live.
+  /// The number of live instances whose view is at the store's revision.
   std::size_t UpToDate() const {
     std::size_t count = 0;
     for (const auto& node : this->nodes) {
@@ -100,9 +101,9 @@
     return calls;
   }
 
-  /// The most digests and copies that one instance has sent since the last
-  /// call.
-  std::uint64_t MostSent() {
+  /// The largest number of digests and copies that one instance has sent since
+  /// the last call.
+  std::uint64_t TakeMaxSent() {
     std::uint64_t most = 0;
     for (const auto& node : this->nodes) {
       most = std::max(most, std::exchange(node->digests, 0) +
@@ -111,19 +112,21 @@
     return most;
   }
 
-  std::uint64_t DatagramsLost(std::uint64_t every) {
-    return this->lose = every;
+  /// Loses one of every `every` datagrams; 0: none.
+  std::uint64_t SetDatagramLoss(std::uint64_t every) {
+    return this->lose_every = every;
   }
 
  private:
   void Read(std::size_t i) {
     Node& node = *this->nodes[i];
     if (!node.sync->ShouldRead(this->now)) {
-      node.view.Contact().OnIdle();
+      node.view.Contact().OnReadingStopped();
       return;
     }
-    const bool news = node.view.Items().Complete().value < this->revision;
-    if (!news && this->now - node.heard_at < this->pace.Of(kWatch)) {
+    const bool has_changes =
+        node.view.Items().Complete().value < this->revision;
+    if (!has_changes && this->now - node.heard_at < this->scale.Apply(kWatch)) {
       return;
     }
     ++node.calls;
@@ -135,15 +138,15 @@
     node.view.Contact().OnAnswer(this->now);
     const common::Revision before = node.view.Items().Complete();
     node.view.OnPeerItems(this->store.Since(before), this->now);
-    this->Carry(i, node.sync->OnStoreNews(before, this->now));
+    this->Send(i, node.sync->OnStoreRead(before, this->now));
   }
 
-  void Carry(std::size_t from, SyncActions actions) {
+  void Send(std::size_t from, SyncActions actions) {
     for (DigestOut& out : actions.digests) {
       ++this->sent;
       ++this->nodes[from]->digests;
-      if (this->lose == 0 || this->sent % this->lose != 0) {
-        this->under_way.push_back(std::move(out));
+      if (this->lose_every == 0 || this->sent % this->lose_every != 0) {
+        this->in_flight.push_back(std::move(out));
       }
     }
     if (actions.pull) {
@@ -156,14 +159,14 @@
   }
 
   void Deliver() {
-    while (!this->under_way.empty() || !this->pulls.empty()) {
-      while (!this->under_way.empty()) {
-        const DigestOut out = std::move(this->under_way.front());
-        this->under_way.pop_front();
+    while (!this->in_flight.empty() || !this->pulls.empty()) {
+      while (!this->in_flight.empty()) {
+        const DigestOut out = std::move(this->in_flight.front());
+        this->in_flight.pop_front();
         const std::size_t to = this->IndexOf(out.to);
         if (!this->nodes[to]->dead) {
-          this->Carry(to,
-                      this->nodes[to]->sync->OnDigest(out.digest, this->now));
+          this->Send(to,
+                     this->nodes[to]->sync->OnDigest(out.digest, this->now));
         }
       }
       this->DeliverPulls();
@@ -175,35 +178,35 @@
       Node& source = *this->nodes[this->IndexOf(peer)];
       Node& node = *this->nodes[to];
       if (source.dead) {
-        this->Carry(to, node.sync->OnPullFailed(std::nullopt));
+        this->Send(to, node.sync->OnPullFailed(std::nullopt));
         continue;
       }
       ++source.copies;
       const ItemDelta delta =
           source.view.Items().Since(node.view.Items().Complete());
-      this->Carry(to, node.sync->OnPulled(delta, source.sync->Mark(this->now),
-                                          this->now));
+      this->Send(to, node.sync->OnPulled(delta, source.sync->Status(this->now),
+                                         this->now));
     }
   }
 
-  const NewsPace pace;
+  const PropagationScale scale;
   SamplePublication publication;
   ItemStore store;
   std::uint64_t revision{1};
   milliseconds now{0};
   std::vector<std::unique_ptr<Node>> nodes;
-  std::deque<DigestOut> under_way;
+  std::deque<DigestOut> in_flight;
   std::vector<std::pair<std::size_t, common::Endpoint>> pulls;
   std::uint64_t sent{0};
-  std::uint64_t lose{0};
+  std::uint64_t lose_every{0};
 };
 
-void Fill(Fleet& fleet) {
+void PublishInitialItems(Fleet& fleet) {
   fleet.Write("configuration", "1 198.18.0.1:443=diary");
   fleet.Write("target/a1", TargetText("diary", "north", "10.0.0.1:80"));
 }
 
-/// Kills all who have read the store; returns how many.
+/// Kills all instances that have read the store. Returns their number.
 std::size_t KillReaders(Fleet& fleet) {
   std::size_t died = 0;
   for (std::size_t i = 0; i < 30; ++i) {
@@ -217,24 +220,24 @@
   return died;
 }
 
-struct Size {
+struct FleetSize {
   std::size_t instances;
   std::size_t domains;
 };
 
-std::ostream& operator<<(std::ostream& out, const Size& row) {
+std::ostream& operator<<(std::ostream& out, const FleetSize& row) {
   return out << row.instances << " in " << row.domains;
 }
 
-const Size kSizes[] = {{1, 1}, {8, 3}, {60, 3}, {120, 4}};
+const FleetSize kFleetSizes[] = {{1, 1}, {8, 3}, {60, 3}, {120, 4}};
 
-// Each instance that reads for itself costs the store calls, and its rate does
-// not grow with the fleet. Two readers a domain must be enough for all to hear
-// of a change within a second.
-BOOST_DATA_TEST_CASE(two_readers_a_domain_keep_everybody_up_to_date, kSizes,
-                     row) {
+// Guards against store calls that grow with the fleet, since the store's rate
+// doesn't. With two readers in each domain, a change must still reach all
+// instances within a second.
+BOOST_DATA_TEST_CASE(two_readers_a_domain_keep_everybody_up_to_date,
+                     kFleetSizes, row) {
   Fleet fleet(row.instances, row.domains);
-  Fill(fleet);
+  PublishInitialItems(fleet);
   fleet.Run(10s);
   const std::uint64_t before = fleet.Calls();
 
@@ -250,46 +253,49 @@
   BOOST_TEST(calls_a_second <= readers * 0.9);
 }
 
-struct News {
-  std::size_t instances;  ///< In one failure domain.
-  std::size_t bytes;      ///< Of the configuration; what a digest can't hold
-                          ///< is asked for.
-  std::uint64_t most;     ///< Digests and copies by one instance in a second.
+struct NotificationRow {
+  std::size_t instances;   ///< In one failure domain.
+  std::size_t bytes;       ///< Of the change. One that exceeds a digest is
+                           ///< fetched as a copy.
+  std::uint64_t max_sent;  ///< Digests and copies by one instance in a second.
 };
 
-std::ostream& operator<<(std::ostream& out, const News& row) {
+std::ostream& operator<<(std::ostream& out, const NotificationRow& row) {
   return out << row.instances << " instances, " << row.bytes << " bytes";
 }
 
-const News kNews[] = {
+const NotificationRow kNotifications[] = {
     {30, 100, 60}, {30, 5000, 90}, {116, 100, 45}, {116, 5000, 60}};
 
-// The domain of the largest fleet has 116 instances. A reader that tells each
-// of them itself sends its whole budget of bytes with a few changes a second,
-// and the packets of its clients wait behind them on a link of 10 Mbit/s. Its
-// work must grow more slowly than the domain.
-BOOST_DATA_TEST_CASE(telling_a_large_domain_is_shared, kNews, row) {
+// Guards against a reader that notifies each member of a large domain itself.
+// In the largest fleet a domain has 116 instances. With a few changes a second
+// the digests would use the whole budget for control traffic, and on a 10
+// Mbit/s link client packets would queue behind them. Its work must grow more
+// slowly than the domain.
+BOOST_DATA_TEST_CASE(relays_share_the_digests_of_a_large_domain, kNotifications,
+                     row) {
   Fleet fleet(row.instances, 1);
-  Fill(fleet);
+  PublishInitialItems(fleet);
   fleet.Run(20s);
-  fleet.MostSent();
+  fleet.TakeMaxSent();
 
   fleet.Write("configuration", "2 198.18.0.1:443=handover");
   fleet.Write("target/large", std::string(row.bytes, 'x'));
   fleet.Run(1s);
 
   BOOST_TEST(fleet.UpToDate() == row.instances);
-  const std::uint64_t most = fleet.MostSent();
+  const std::uint64_t most = fleet.TakeMaxSent();
   BOOST_TEST_MESSAGE("most sent " << most);
-  BOOST_TEST(most <= row.most);
+  BOOST_TEST(most <= row.max_sent);
 }
 
-// Guards against a relay that drops its list of members to tell when another
-// peer's older digest arrives while it copies a change too large for a digest.
+// Guards against a relay that drops the members it has to notify when an older
+// digest of another peer arrives while it copies a change too large for a
+// digest.
 BOOST_DATA_TEST_CASE(a_relay_tells_all_of_a_change_that_needs_a_copy,
                      boost::unit_test::data::xrange(12), seed) {
   Fleet fleet(116, 1, 3000ms, 1000U * static_cast<std::uint64_t>(seed));
-  Fill(fleet);
+  PublishInitialItems(fleet);
   fleet.Run(20s);
 
   fleet.Write("target/large", std::string(5000, 'x'));
@@ -298,12 +304,13 @@
   BOOST_TEST(fleet.UpToDate() == 116U);
 }
 
-// An instance through which others hear dies, and a change follows while it is
-// still counted on. Those others ask as soon as their view gets old.
+// Guards against a change that arrives too late because a relay has died and
+// still counts as live. The members behind it must query peers once their view
+// is too old.
 BOOST_DATA_TEST_CASE(a_dead_relay_delays_no_change_too_long,
                      boost::unit_test::data::xrange(6), killed) {
   Fleet fleet(116, 1);
-  Fill(fleet);
+  PublishInitialItems(fleet);
   fleet.Run(20s);
   std::vector<std::size_t> busiest(116);
   for (std::size_t i = 0; i < busiest.size(); ++i) {
@@ -320,12 +327,13 @@
   BOOST_TEST(fleet.UpToDate() == 114U);
 }
 
-// Datagrams get lost, every fifth one here. A follower that isn't told in time
-// asks or reads the store itself, and still hears of a change in time.
-BOOST_DATA_TEST_CASE(lost_digests_delay_no_change_too_long, kSizes, row) {
+// Guards against changes that arrive too late when every fifth datagram is
+// lost. A follower that isn't notified must query peers or read the store in
+// time.
+BOOST_DATA_TEST_CASE(lost_digests_delay_no_change_too_long, kFleetSizes, row) {
   Fleet fleet(row.instances, row.domains);
-  Fill(fleet);
-  fleet.DatagramsLost(5);
+  PublishInitialItems(fleet);
+  fleet.SetDatagramLoss(5);
   fleet.Run(10s);
 
   fleet.Write("configuration", "2 198.18.0.1:443=handover");
@@ -334,13 +342,12 @@
   BOOST_TEST(fleet.UpToDate() == row.instances);
 }
 
-// The store refuses some instances and serves the others and the operator. A
-// refused instance that went on with its old configuration would run requests
-// by a service that the operator has withdrawn.
+// Guards against an instance that keeps an old configuration because the store
+// refuses it. It would send flows to a service that the operator has withdrawn.
 BOOST_DATA_TEST_CASE(a_refused_instance_takes_its_view_from_peers,
                      boost::unit_test::data::xrange(8), refused) {
   Fleet fleet(8, 3);
-  Fill(fleet);
+  PublishInitialItems(fleet);
   fleet.Run(5s);
   fleet.At(refused).refused = true;
   fleet.At((refused + 3) % 8).refused = true;
@@ -352,11 +359,11 @@
   BOOST_TEST(fleet.UpToDate() == 8U);
 }
 
-// Every reader of a domain dies at once, and a change follows. The others take
-// over in time though they still count the dead ones as readers.
-BOOST_AUTO_TEST_CASE(followers_outlive_their_readers) {
+// Guards against a change that arrives too late because all readers have died.
+// The others must take over although they still rank the dead ones as readers.
+BOOST_AUTO_TEST_CASE(followers_take_over_from_dead_readers) {
   Fleet fleet(30, 3);
-  Fill(fleet);
+  PublishInitialItems(fleet);
   fleet.Run(10s);
   const std::size_t died = KillReaders(fleet);
 
@@ -368,12 +375,13 @@
 
 const milliseconds kKnownWithin[] = {3000ms, 1500ms, 1000ms};
 
-// The platform wants changes to be known sooner than elsewhere. Readers die
-// there as well, and the others must take over within the shorter time.
+// Guards against intervals that aren't scaled when the platform requires
+// changes to propagate sooner. After the death of all readers, the others must
+// take over within the shorter time.
 BOOST_DATA_TEST_CASE(dead_readers_delay_no_change_past_the_bound, kKnownWithin,
                      known_within) {
   Fleet fleet(30, 3, known_within);
-  Fill(fleet);
+  PublishInitialItems(fleet);
   fleet.Run(10s);
   const std::size_t died = KillReaders(fleet);
 
@@ -383,11 +391,11 @@
   BOOST_TEST(fleet.UpToDate() == 30 - died);
 }
 
-// The store is down, and an instance starts. It takes what the others have, and
-// serves.
-BOOST_AUTO_TEST_CASE(an_instance_that_starts_without_the_store_is_served) {
+// Guards against an instance that can't serve because it starts during an
+// outage of the store. It must get its view from peers.
+BOOST_AUTO_TEST_CASE(an_instance_that_starts_without_the_store_gets_a_view) {
   Fleet fleet(8, 3);
-  Fill(fleet);
+  PublishInitialItems(fleet);
   fleet.At(7).dead = true;
   fleet.Run(5s);
   for (std::size_t i = 0; i < 8; ++i) {
@@ -400,9 +408,9 @@
   BOOST_TEST(fleet.UpToDate() == 8U);
 }
 
-// A release starts ten targets within a second, in a failure domain of forty
-// instances. Taken as copies the changes would cost forty connections each
-// second; told in several digests they reach everybody without one.
+// Guards against copies when a release starts ten targets within a second in a
+// failure domain of forty instances. They would cost forty connections a
+// second; the changes must be sent in several digests instead.
 BOOST_AUTO_TEST_CASE(many_changes_at_once_need_no_copies) {
   Fleet fleet(40, 1);
   fleet.Write("configuration", "1 198.18.0.1:443=diary");
@@ -423,11 +431,10 @@
   BOOST_TEST(fleet.UpToDate() == 40U);
 }
 
-// The store is away for longer than views stay fresh, so every instance tries
-// to reach it. Only the two readers of each failure domain do so often: they
-// tell the others once it is back, and a fleet that asked as one would use up
-// the store's rate just then.
-BOOST_AUTO_TEST_CASE(an_absent_store_is_asked_often_by_its_readers_only) {
+// Guards against a fleet that uses up the store's rate at the end of an outage.
+// All instances call the store once their views are too old, but only the two
+// readers of each failure domain do so often. They notify the others.
+BOOST_AUTO_TEST_CASE(only_readers_often_call_an_unreachable_store) {
   Fleet fleet(12, 2);
   fleet.Write("configuration", "1 198.18.0.1:443=diary");
   fleet.Run(8s);
@@ -452,7 +459,7 @@
 BOOST_DATA_TEST_CASE(dead_members_do_not_delay_substitutes,
                      boost::unit_test::data::xrange(6), seed) {
   Fleet fleet(60, 1, 3000ms, 1000U * static_cast<std::uint64_t>(seed));
-  Fill(fleet);
+  PublishInitialItems(fleet);
   fleet.Run(10s);
   std::size_t alive = 0;
   for (std::size_t i = 0; i < 60; ++i) {
@@ -467,11 +474,11 @@
   BOOST_TEST(fleet.UpToDate() == 3U);
 }
 
-// Guards against followers removing targets whose entries lapsed while the
-// store was away, because they made no failed call themselves.
-BOOST_AUTO_TEST_CASE(entries_that_lapsed_meanwhile_are_kept_by_followers) {
+// Guards against followers that remove targets whose entries expired during an
+// outage of the store, because no call of their own has failed.
+BOOST_AUTO_TEST_CASE(followers_keep_entries_that_expired_in_a_store_outage) {
   Fleet fleet(60, 1);
-  Fill(fleet);
+  PublishInitialItems(fleet);
   fleet.Run(10s);
   for (std::size_t i = 0; i < 60; ++i) {
     fleet.At(i).refused = true;
@@ -504,9 +511,8 @@
   BOOST_TEST(reading == 3U);
 }
 
-// Two busy instances send an asker from one to the other. It follows a few
-// times, and then asks somebody at random.
-BOOST_AUTO_TEST_CASE(a_circle_of_busy_instances_is_left) {
+// Guards against following a redirect loop between two busy instances for ever.
+BOOST_AUTO_TEST_CASE(a_redirect_loop_is_abandoned) {
   Fleet fleet(2, 1);
   unsigned followed = 0;
   while (followed < 100 &&
@@ -516,17 +522,17 @@
   BOOST_TEST(followed == 4U);
 }
 
-// An instance that is being stopped reads no longer, and nobody counts on it.
+// Guards against followers that rely on readers that are shutting down.
 BOOST_AUTO_TEST_CASE(a_leaving_instance_is_no_reader) {
   Fleet fleet(3, 1);
-  Fill(fleet);
+  PublishInitialItems(fleet);
   fleet.Run(5s);
   for (std::size_t i = 0; i < 3; ++i) {
     fleet.At(i).sync->OnLeave();
   }
   fleet.Run(2s);
 
-  // With nobody left to read, each reads when its view gets old.
+  // Without readers, each instance reads once its view is too old.
   fleet.Write("configuration", "2 198.18.0.1:443=handover");
   fleet.Run(2700ms);
   BOOST_TEST(fleet.UpToDate() == 3U);
--- a/tests/core/view/item_store_test.cc
+++ b/tests/core/view/item_store_test.cc
@@ -1,4 +1,4 @@
-/// How published items merge, from whatever source.
+/// Tests the merging of published items from several sources.
 #include "core/view/item_store.h"
 
 #include <algorithm>
@@ -12,17 +12,17 @@
 namespace sassafrasdyke::core {
 namespace {
 
-struct Arrival {
+struct MergeRow {
   Item first;
   Item second;
   bool second_changes;
 };
 
-std::ostream& operator<<(std::ostream& out, const Arrival& row) {
+std::ostream& operator<<(std::ostream& out, const MergeRow& row) {
   return out << row.first.revision << " then " << row.second.revision;
 }
 
-const Arrival kArrivals[] = {
+const MergeRow kMergeRows[] = {
     {{"a", {5}, "x"}, {"a", {6}, "y"}, true},
     {{"a", {6}, "y"}, {"a", {5}, "x"}, false},
     {{"a", {6}, "y"}, {"a", {6}, "y"}, false},
@@ -31,18 +31,19 @@
     {{"a", {6}, "y"}, {"a", {7}, std::nullopt}, true},
 };
 
-// Another instance's news may overtake the store's own. If the older of two
-// changes won because it came last, a target that has left would take new flows
-// again, and a configuration would go back.
-BOOST_DATA_TEST_CASE(the_newer_change_wins_in_any_order, kArrivals, row) {
+// Guards against an older change replacing a newer one because it arrives last,
+// as a peer's change may overtake the store's. A removed target would get new
+// flows again, and a configuration would revert to an older one.
+BOOST_DATA_TEST_CASE(the_newer_change_wins_in_any_order, kMergeRows, row) {
   ItemStore store;
   BOOST_TEST(store.Merge(row.first));
 
   BOOST_TEST(store.Merge(row.second) == row.second_changes);
 }
 
-// A store that forgets its history makes a reader list anew. What left in the
-// gap is in no event; only its absence from the listing tells.
+// Guards against items that were removed during a gap in the store's history
+// and stay in the view. No event reports them; they are just missing in the
+// listing.
 BOOST_AUTO_TEST_CASE(a_listing_removes_what_it_lacks) {
   ItemStore store;
   store.Replace({{"a", {1}, "x"}, {"b", {2}, "y"}}, {2});
@@ -57,9 +58,9 @@
   BOOST_TEST(store.Complete().value == 9U);
 }
 
-// The pages of a listing are read one after the other. A target that registers
-// while a later page is read is missing from the earlier one; it is known from
-// another instance already, and must not be dropped for a moment.
+// Guards against dropping a target that registers while the pages of a listing
+// are read: it is missing in a page read before, but a peer has sent it
+// already.
 BOOST_AUTO_TEST_CASE(a_listing_keeps_what_is_newer_than_it) {
   ItemStore store;
   store.Merge({"new", {12}, "x"});
@@ -70,8 +71,8 @@
   BOOST_TEST(store.Since({11}).items.size() == 1U);
 }
 
-// An instance that the store refuses takes deltas from its peers. One that
-// starts behind what it has would leave a gap for good.
+// Guards against a permanent gap in the view of an instance that gets deltas
+// from peers: a delta that starts after the own revision must be ignored.
 BOOST_AUTO_TEST_CASE(a_delta_with_a_gap_before_it_is_not_taken) {
   ItemStore store;
   store.Replace({{"a", {1}, "x"}}, {5});
@@ -82,9 +83,9 @@
   BOOST_TEST(store.Complete().value == 9U);
 }
 
-// Whoever is far behind gets everything instead of a delta: removals are kept
-// for a while only.
-BOOST_AUTO_TEST_CASE(forgotten_removals_make_a_delta_whole) {
+// Guards against a delta without the removals whose removal marks were dropped.
+// A peer that is so far behind must get a full copy.
+BOOST_AUTO_TEST_CASE(dropped_removal_marks_force_a_full_copy) {
   ItemStore store;
   store.Replace({{"stays", {1}, "x"}}, {1});
   constexpr std::uint64_t kRemovals = 3000;
@@ -98,11 +99,10 @@
   BOOST_TEST(!store.Since({1 + kRemovals}).whole);
 }
 
-// The differential check: whatever the order, the repeats and the mix of
-// deltas and listings, a follower that has heard everything has what the
-// publisher has.
-BOOST_DATA_TEST_CASE(any_history_ends_alike, boost::unit_test::data::xrange(50),
-                     seed) {
+// Guards against replicas that differ after the same changes. Applies deltas
+// reordered and repeated, and compares the follower with the publisher.
+BOOST_DATA_TEST_CASE(replicas_converge_for_any_history,
+                     boost::unit_test::data::xrange(50), seed) {
   Jitter random(static_cast<std::uint64_t>(seed));
   ItemStore publisher;
   ItemStore follower;
--- a/tests/core/view/sample_publication.h
+++ b/tests/core/view/sample_publication.h
@@ -1,6 +1,7 @@
-/// A publication in a plain text of its own, so that tests of the core need no
-/// platform. A configuration is "VERSION ADDRESS=SERVICE[,SERVICE]...", a
-/// target "SERVICE DOMAIN ADDRESS [draining]"; other texts can't be read.
+/// A Publication with a simple text format, so that tests of the core don't
+/// depend on a platform's adapter. A configuration is
+/// "VERSION ADDRESS=SERVICE[,SERVICE]...", a target is
+/// "SERVICE DOMAIN ADDRESS [draining]". Other texts can't be decoded.
 #pragma once
 
 #include <optional>
@@ -28,7 +29,7 @@
     return http_status == 410 ? StoreStatus::kHistoryGone
                               : StoreStatus::kRefused;
   }
-  /// "AT [more]" and a line "KEY REVISION VALUE..." each.
+  /// A line "AT [more]", then a line "KEY REVISION VALUE..." for each item.
   tl::expected<ListPage, ItemFault> ReadPage(
       const std::string& body) const override {
     std::istringstream lines(body);
@@ -121,7 +122,7 @@
   }
 };
 
-/// The text of a target.
+/// The value of a target's item.
 inline std::string TargetText(const std::string& service,
                               const std::string& domain,
                               const std::string& address) {
--- a/tests/front/peer_codec_test.cc
+++ b/tests/front/peer_codec_test.cc
@@ -22,7 +22,7 @@
       {410}, {412}, false, {{"a", {411}, "x"}, {"b", {412}, std::nullopt}}};
   digest.known = {
       {*common::Endpoint::Parse("10.2.0.40:7720"), "north-b", 700ms}};
-  digest.pass_on = {*common::Endpoint::Parse("10.1.0.11:7720")};
+  digest.relay_to = {*common::Endpoint::Parse("10.1.0.11:7720")};
   return digest;
 }
 
@@ -43,8 +43,8 @@
   BOOST_REQUIRE(digest->known.size() == 1U);
   BOOST_TEST(digest->known[0].domain == "north-b");
   BOOST_TEST((digest->known[0].heard_ago == 700ms));
-  BOOST_REQUIRE(digest->pass_on.size() == 1U);
-  BOOST_TEST(digest->pass_on[0].ToString() == "10.1.0.11:7720");
+  BOOST_REQUIRE(digest->relay_to.size() == 1U);
+  BOOST_TEST(digest->relay_to[0].ToString() == "10.1.0.11:7720");
 }
 
 struct Load {
@@ -63,18 +63,17 @@
 // its receivers would hear of such changes two seconds later, when they ask.
 BOOST_DATA_TEST_CASE(a_full_digest_fits_into_a_packet, kLoads, row) {
   core::PeerDigest digest = Sample();
-  digest.changes =
-      core::ItemDelta{{1'000'000},
-                      {1'000'012},
-                      false,
-                      {{"target/i-0123456789",
-                        {1'000'012},
-                        std::string(core::kMostInlineBytes, 'x')}}};
+  digest.changes = core::ItemDelta{{1'000'000},
+                                   {1'000'012},
+                                   false,
+                                   {{"target/i-0123456789",
+                                     {1'000'012},
+                                     std::string(core::kMaxInlineBytes, 'x')}}};
   digest.known.assign(row.known,
                       {*common::Endpoint::Parse("100.200.100.200:17720"),
                        "hn-thanhxuan", 19'000ms});
-  digest.pass_on.assign(row.pass_on,
-                        *common::Endpoint::Parse("100.200.100.200:17720"));
+  digest.relay_to.assign(row.pass_on,
+                         *common::Endpoint::Parse("100.200.100.200:17720"));
 
   BOOST_TEST(EncodeDigest(digest).size() <= 1400U);
 }
