--- a/source/core/exchange/copy_gatherer.cc
+++ b/source/core/exchange/copy_gatherer.cc
@@ -5,70 +5,72 @@
 
 namespace sassafrasdyke::core {
 
-bool KnowsItself(const CopyDestination& destination, const CopySet& set) {
+bool IsOwnCopy(const CopyDestination& destination, const CopySet& set) {
   return set.from == destination.to &&
          set.incarnation >= destination.incarnation;
 }
 
-CopyGatherer::CopyGatherer(FlowWorld& world, const CopyStore& store,
+CopyGatherer::CopyGatherer(LocalState& local, const CopyStore& store,
                            const UnresolvedFlows& unresolved,
                            CopySender& sender)
-    : world(world), store(store), unresolved(unresolved), sender(sender) {}
+    : local(local), store(store), unresolved(unresolved), sender(sender) {}
 
 void CopyGatherer::Gather(std::chrono::milliseconds now) {
-  const std::map<PartitionKey, Gathering> wanted = this->sender.Wanted();
+  const std::map<PartitionKey, GatherMode> wanted =
+      this->sender.PartitionsToGather();
   if (wanted.empty()) {
     return;
   }
-  std::vector<Order> orders = this->TakeOrders(wanted);
-  this->world.ForEachRecord(
-      [this, &orders](common::Fingerprint flow, FlowRecord& record) {
-        this->Collect(flow, record, orders);
+  std::vector<GatherRequest> requests = this->MakeRequests(wanted);
+  this->local.ForEachRecord(
+      [this, &requests](common::Fingerprint flow, FlowRecord& record) {
+        this->CollectRecord(flow, record, requests);
       });
-  for (std::uint32_t i = 0; i < orders.size(); ++i) {
-    if (orders[i].gathering != Gathering::kNone) {
-      this->sender.Load(this->world.Directory().KeyOf(PartitionIndex{i}),
-                        std::move(orders[i].flows), now);
+  for (std::uint32_t i = 0; i < requests.size(); ++i) {
+    if (requests[i].gather_mode != GatherMode::kNone) {
+      this->sender.Load(this->local.Directory().KeyOf(PartitionIndex{i}),
+                        std::move(requests[i].flows), now);
     }
   }
 }
 
-std::vector<CopyGatherer::Order> CopyGatherer::TakeOrders(
-    const std::map<PartitionKey, Gathering>& wanted) const {
-  std::vector<Order> orders(this->world.Partitions().size());
-  for (const auto& [key, gathering] : wanted) {
-    const auto partition = this->world.Directory().Find(key);
+std::vector<CopyGatherer::GatherRequest> CopyGatherer::MakeRequests(
+    const std::map<PartitionKey, GatherMode>& wanted) const {
+  std::vector<GatherRequest> requests(this->local.Partitions().size());
+  for (const auto& [key, gather_mode] : wanted) {
+    const auto partition = this->local.Directory().Find(key);
     if (!partition) {
       this->sender.Stop(key);
       continue;
     }
-    const PartitionState& state = this->world.StateOf(*partition);
+    const PartitionState& state = this->local.StateOf(*partition);
     const OutgoingSet* const set = this->sender.Find(key);
-    Order& order = orders[partition->value];
-    order.gathering = gathering;
-    order.hand_over = set->purpose == CopyPurpose::kHandOver;
-    order.fallback = set->fallback.value == 0 ? kNoSlot : state.fallback;
-    order.flows = this->CopiesToReturn(*partition, *set);
+    GatherRequest& request = requests[partition->value];
+    request.gather_mode = gather_mode;
+    request.hand_over = set->purpose == CopyPurpose::kHandOver;
+    request.fallback = set->fallback.value == 0 ? kNoSlot : state.fallback;
+    request.flows = this->CopiesToReturn(*partition, *set);
   }
-  return orders;
+  return requests;
 }
 
-void CopyGatherer::Collect(common::Fingerprint flow, FlowRecord& record,
-                           std::vector<Order>& orders) const {
-  const auto partition = this->world.PartitionOf(flow, record.service);
-  if (!partition || !this->world.IsLive(record, *partition)) {
+void CopyGatherer::CollectRecord(common::Fingerprint flow, FlowRecord& record,
+                                 std::vector<GatherRequest>& requests) const {
+  const auto partition = this->local.PartitionOf(flow, record.service);
+  if (!partition || !this->local.IsLive(record, *partition)) {
     return;
   }
-  Order& order = orders[partition->value];
-  // A SYN that is sent again must find its target, wherever it is; any other
-  // flow at the fallback is found without being named.
-  const bool is_named = record.target != order.fallback ||
-                        (order.hand_over && record.state == FlowState::kSyn);
-  const bool is_new = order.gathering == Gathering::kWhole || !record.copied;
-  const TargetRecord& target = this->world.Targets().At(record.target);
-  if (order.gathering != Gathering::kNone && is_named && is_new &&
+  GatherRequest& request = requests[partition->value];
+  // A hand-over names every half-open flow, since a retransmitted SYN is not
+  // sent to the fallback. Any other flow at the fallback needs no copy.
+  const bool is_named = record.target != request.fallback ||
+                        (request.hand_over && record.state == FlowState::kSyn);
+  const bool is_new =
+      request.gather_mode == GatherMode::kFull || !record.copied;
+  const TargetRecord& target = this->local.Targets().At(record.target);
+  if (request.gather_mode != GatherMode::kNone && is_named && is_new &&
       !target.gone) {
-    order.flows.push_back({flow, target.target.id});
+    request.flows.push_back({flow, target.target.id});
     record.copied = true;
   }
 }
@@ -78,10 +80,10 @@
   if (outgoing.purpose != CopyPurpose::kHandOver) {
     return {};
   }
-  const PartitionKey& key = this->world.Directory().KeyOf(partition);
+  const PartitionKey& key = this->local.Directory().KeyOf(partition);
   std::vector<FlowException> flows = this->unresolved.Of(key);
   for (const CopySet& set : this->store.SetsOf(key)) {
-    if (KnowsItself(outgoing.destination, set)) {
+    if (IsOwnCopy(outgoing.destination, set)) {
       continue;
     }
     for (const auto& [flow, target] : AllFlows(set)) {
--- a/source/core/exchange/copy_sender.cc
+++ b/source/core/exchange/copy_sender.cc
@@ -6,20 +6,20 @@
 namespace sassafrasdyke::core {
 namespace {
 
-/// Flows named by one message at most.
-constexpr std::size_t kBatch = 128;
-/// Messages on their way without an answer, per partition.
-constexpr std::uint64_t kWindow = 16;
-/// Encoded sizes that the budget is charged with: MessagePack with the frame
-/// around it, and the acknowledgement.
+/// Added, and likewise ended, flows in one message at most.
+constexpr std::size_t kMaxFlowsPerMessage = 128;
+/// Send window: unacknowledged messages per partition.
+constexpr std::uint64_t kMaxUnacknowledged = 16;
+/// Encoded sizes in bytes that are charged to the budget: the MessagePack body,
+/// its frame and the acknowledgement.
 constexpr std::size_t kMessageBytes = 80;
 constexpr std::size_t kAddedBytes = 14;
 constexpr std::size_t kEndedBytes = 9;
-/// Small batches wait for company: a message's frame costs as much as several
-/// flows.
-constexpr std::chrono::milliseconds kCompany{1000};
-constexpr std::chrono::milliseconds kFirstPatience{1000};
-constexpr std::chrono::milliseconds kLongestPatience{std::chrono::minutes{1}};
+/// How long a small batch waits for more flows: a message's frame costs as much
+/// as several flows.
+constexpr std::chrono::milliseconds kBatchDelay{1000};
+constexpr std::chrono::milliseconds kInitialAckTimeout{1000};
+constexpr std::chrono::milliseconds kMaxAckTimeout{std::chrono::minutes{1}};
 
 std::size_t BytesOf(std::size_t added, std::size_t ended) {
   return kMessageBytes + added * kAddedBytes + ended * kEndedBytes;
@@ -33,18 +33,18 @@
   return set.last_sequence && set.acknowledged > *set.last_sequence;
 }
 
-void WantWhole(OutgoingSet& set) {
-  set.gathering = Gathering::kWhole;
-  set.in_whole = false;
+void RequestFullSet(OutgoingSet& set) {
+  set.gather_mode = GatherMode::kFull;
+  set.sending_full_set = false;
   set.added.clear();
   set.ended.clear();
   set.last_sequence.reset();
 }
 
 template <typename T>
-std::vector<T> TakeFront(std::deque<T>& queue, std::size_t most) {
-  const auto end =
-      queue.begin() + static_cast<std::ptrdiff_t>(std::min(most, queue.size()));
+std::vector<T> TakeFront(std::deque<T>& queue, std::size_t max_count) {
+  const auto end = queue.begin() + static_cast<std::ptrdiff_t>(
+                                       std::min(max_count, queue.size()));
   std::vector<T> taken(queue.begin(), end);
   queue.erase(queue.begin(), end);
   return taken;
@@ -76,8 +76,9 @@
   OutgoingSet& set = found->second;
   set.purpose = purpose;
   set.last_sequence.reset();
-  if (purpose == CopyPurpose::kHandOver && set.gathering == Gathering::kNone) {
-    set.gathering = Gathering::kRest;
+  if (purpose == CopyPurpose::kHandOver &&
+      set.gather_mode == GatherMode::kNone) {
+    set.gather_mode = GatherMode::kIncremental;
   }
 }
 
@@ -102,11 +103,11 @@
   return found == this->sets.end() ? nullptr : &found->second;
 }
 
-std::map<PartitionKey, Gathering> CopySender::Wanted() const {
-  std::map<PartitionKey, Gathering> wanted;
+std::map<PartitionKey, GatherMode> CopySender::PartitionsToGather() const {
+  std::map<PartitionKey, GatherMode> wanted;
   for (const auto& [partition, set] : this->sets) {
-    if (set.gathering != Gathering::kNone) {
-      wanted[partition] = set.gathering;
+    if (set.gather_mode != GatherMode::kNone) {
+      wanted[partition] = set.gather_mode;
     }
   }
   return wanted;
@@ -120,15 +121,15 @@
     return;
   }
   OutgoingSet& set = found->second;
-  if (set.gathering == Gathering::kWhole) {
-    set.generation = ++this->generations;
+  if (set.gather_mode == GatherMode::kFull) {
+    set.generation = ++this->last_generation;
     set.next_sequence = 0;
     set.acknowledged = 0;
-    set.in_whole = true;
+    set.sending_full_set = true;
     set.added.clear();
     set.ended.clear();
   }
-  set.gathering = Gathering::kNone;
+  set.gather_mode = GatherMode::kNone;
   set.last_sequence.reset();
   set.added.insert(set.added.end(), flows.begin(), flows.end());
   set.queued_at = now;
@@ -155,7 +156,7 @@
   }
   OutgoingSet& set = found->second;
   set.queued_at = IsEmpty(set) ? now : set.queued_at;
-  // A flow that is still waiting must not be named after its end.
+  // An addition that is still queued must not be sent after the flow's end.
   std::erase_if(set.added, [flow](const FlowException& exception) {
     return exception.flow == flow;
   });
@@ -170,16 +171,16 @@
   }
   OutgoingSet& set = found->second;
   if (set.destination.to != from || ack.generation != set.generation ||
-      set.gathering == Gathering::kWhole) {
+      set.gather_mode == GatherMode::kFull) {
     return false;
   }
   if (ack.resend_whole) {
-    WantWhole(set);
+    RequestFullSet(set);
     return false;
   }
   set.acknowledged = std::max(set.acknowledged, ack.sequence + 1);
   set.sent_at = now;
-  set.patience = kFirstPatience;
+  set.ack_timeout = kInitialAckTimeout;
   return set.purpose == CopyPurpose::kHandOver && IsFinished(set);
 }
 
@@ -191,7 +192,7 @@
   for (std::size_t i = 0; i < this->sets.size(); ++i) {
     next = next == this->sets.end() ? this->sets.begin() : next;
     this->RestartIfOverdue(next->second, now);
-    this->SendSome(next->first, next->second, now, outbox);
+    this->SendDueMessages(next->first, next->second, now, outbox);
     this->resume_after = next->first;
     ++next;
   }
@@ -199,33 +200,36 @@
 
 bool CopySender::IsDue(const OutgoingSet& set,
                        std::chrono::milliseconds now) const {
-  if (set.gathering != Gathering::kNone ||
-      set.next_sequence >= set.acknowledged + kWindow) {
+  if (set.gather_mode != GatherMode::kNone ||
+      set.next_sequence >= set.acknowledged + kMaxUnacknowledged) {
     return false;
   }
-  if (set.in_whole) {
+  if (set.sending_full_set) {
     return true;
   }
   if (set.purpose == CopyPurpose::kHandOver) {
     return !IsEmpty(set) || (set.complete && !set.last_sequence);
   }
-  return !IsEmpty(set) &&
-         (set.added.size() >= kBatch / 2 || now - set.queued_at >= kCompany);
+  return !IsEmpty(set) && (set.added.size() >= kMaxFlowsPerMessage / 2 ||
+                           now - set.queued_at >= kBatchDelay);
 }
 
-void CopySender::SendSome(const PartitionKey& partition, OutgoingSet& set,
-                          std::chrono::milliseconds now, Outbox& outbox) {
+void CopySender::SendDueMessages(const PartitionKey& partition,
+                                 OutgoingSet& set,
+                                 std::chrono::milliseconds now,
+                                 Outbox& outbox) {
   common::TokenBucket& budget = set.purpose == CopyPurpose::kHandOver
                                     ? this->hand_over_budget
                                     : this->copy_budget;
   while (this->IsDue(set, now)) {
-    const std::size_t bytes = BytesOf(std::min(kBatch, set.added.size()),
-                                      std::min(kBatch, set.ended.size()));
+    const std::size_t bytes =
+        BytesOf(std::min(kMaxFlowsPerMessage, set.added.size()),
+                std::min(kMaxFlowsPerMessage, set.ended.size()));
     if (!budget.Take(bytes, now)) {
       return;
     }
     if (set.acknowledged == set.next_sequence) {
-      set.sent_at = now;  // Nothing was on its way: wait from here.
+      set.sent_at = now;  // Nothing was in flight: the timeout starts here.
     }
     ExceptionCopy copy = this->NextMessage(partition, set);
     if (copy.last && set.openings_known_since) {
@@ -245,12 +249,12 @@
   copy.generation = set.generation;
   copy.sequence = set.next_sequence++;
   copy.fallback = set.fallback;
-  copy.added = TakeFront(set.added, kBatch);
-  copy.ended = TakeFront(set.ended, kBatch);
-  // The first message of a generation always says `whole`, so that it can be
-  // told from a later one whose predecessors were lost.
-  copy.whole = set.in_whole && (copy.sequence == 0 || !IsEmpty(set));
-  set.in_whole = copy.whole;
+  copy.added = TakeFront(set.added, kMaxFlowsPerMessage);
+  copy.ended = TakeFront(set.ended, kMaxFlowsPerMessage);
+  // The first message of a generation always has `whole` set. That
+  // distinguishes it from a later one whose predecessors were lost.
+  copy.whole = set.sending_full_set && (copy.sequence == 0 || !IsEmpty(set));
+  set.sending_full_set = copy.whole;
   copy.last = set.purpose == CopyPurpose::kHandOver && set.complete &&
               !copy.whole && IsEmpty(set);
   if (copy.last) {
@@ -261,15 +265,15 @@
 
 void CopySender::RestartIfOverdue(OutgoingSet& set,
                                   std::chrono::milliseconds now) {
-  const bool waits =
-      set.gathering == Gathering::kNone && set.next_sequence > set.acknowledged;
-  set.patience = std::max(set.patience, kFirstPatience);
-  if (!waits || now - set.sent_at < set.patience) {
+  const bool awaits_ack = set.gather_mode == GatherMode::kNone &&
+                          set.next_sequence > set.acknowledged;
+  set.ack_timeout = std::max(set.ack_timeout, kInitialAckTimeout);
+  if (!awaits_ack || now - set.sent_at < set.ack_timeout) {
     return;
   }
-  WantWhole(set);
+  RequestFullSet(set);
   set.sent_at = now;
-  set.patience = std::min(kLongestPatience, 2 * set.patience);
+  set.ack_timeout = std::min(kMaxAckTimeout, 2 * set.ack_timeout);
 }
 
 std::size_t CopySender::Waiting() const {
--- a/source/core/exchange/copy_sender.h
+++ b/source/core/exchange/copy_sender.h
@@ -1,4 +1,5 @@
-/// The exceptions that this instance copies to others.
+/// Sends copies of exceptions, the flows that aren't at their partition's
+/// fallback target, to other instances.
 #pragma once
 
 #include <chrono>
@@ -15,7 +16,8 @@
 
 namespace sassafrasdyke::core {
 
-/// Who receives a partition's copies; a later life of it knows nothing.
+/// The receiver of a partition's copies. After a restart, under a later
+/// incarnation, it holds none of them.
 struct CopyDestination {
   common::InstanceId to;
   common::Incarnation incarnation;
@@ -26,46 +28,49 @@
 
 /// Why a partition is copied.
 enum class CopyPurpose {
-  kStandby,   ///< So that the standby can inherit.
-  kHandOver,  ///< So that the new owner knows what this instance knew.
+  kStandby,   ///< For the standby, which takes over if this owner fails.
+  kHandOver,  ///< For the new owner, after this instance lost ownership.
 };
 
-/// Which flows a partition's sender needs now.
-enum class Gathering {
+/// Which flows must be gathered for a partition.
+enum class GatherMode {
   kNone,
-  kRest,   ///< Those not yet copied: the receiver has the others.
-  kWhole,  ///< All.
+  kIncremental,  ///< Those not copied yet; the receiver has the others.
+  kFull,         ///< All.
 };
 
-/// The copies of one partition on their way.
+/// The state of one partition's transfer to its receiver.
 struct OutgoingSet {
   CopyDestination destination;
   CopyPurpose purpose{CopyPurpose::kStandby};
   common::TargetId fallback;
-  Gathering gathering{Gathering::kWhole};
+  GatherMode gather_mode{GatherMode::kFull};
   std::uint64_t generation{0};
   std::uint64_t next_sequence{0};
-  /// Copies that the receiver has confirmed, from the first.
+  /// Number of messages acknowledged, counted from the first: acknowledgements
+  /// are cumulative.
   std::uint64_t acknowledged{0};
-  /// Nothing more will be learned: a hand-over may end.
+  /// This instance expects no more flows from others, so a hand-over may end.
   bool complete{true};
-  /// Since when this instance knew of every SYN; told with the end of a
-  /// hand-over.
+  /// Since when this instance has tracked every SYN of the partition; sent with
+  /// the end of a hand-over.
   std::optional<std::chrono::milliseconds> openings_known_since;
-  /// Messages of a whole set are still to be sent.
-  bool in_whole{false};
+  /// A full set is being sent and isn't finished.
+  bool sending_full_set{false};
   std::deque<FlowException> added;
   std::deque<common::Fingerprint> ended;
   std::chrono::milliseconds queued_at{0};
   std::chrono::milliseconds sent_at{0};
-  /// Grows with each whole set that found no answer.
-  std::chrono::milliseconds patience{0};
-  /// The sequence number that ended the hand-over; nothing until it is sent.
+  /// How long to wait for an acknowledgement; doubles after each full set that
+  /// timed out.
+  std::chrono::milliseconds ack_timeout{0};
+  /// Sequence number of the message that ends the hand-over; empty until it is
+  /// sent.
   std::optional<std::uint64_t> last_sequence;
 };
 
-/// Sends copies in batches within a byte budget, and again as a whole when one
-/// is lost.
+/// Sends copies in batches within a byte budget, and the full set again when a
+/// message is lost.
 class CopySender {
  public:
   explicit CopySender(common::Incarnation incarnation)
@@ -73,17 +78,17 @@
 
   void SetLimits(common::BucketLimits copies, common::BucketLimits hand_overs);
 
-  /// Sends `partition` to `destination` from now on. What the same destination
-  /// already has isn't sent again, unless the fallback differs.
+  /// Starts copying `partition` to `destination`. Flows that the same
+  /// destination already has aren't sent again, unless the fallback differs.
   void Start(const PartitionKey& partition, const CopyDestination& destination,
              CopyPurpose purpose, common::TargetId fallback);
 
-  /// Says whether this instance has learned everything that it may hand over;
-  /// the end of a hand-over waits for that.
+  /// Sets whether this instance has received all flows that it has to hand
+  /// over; the end of a hand-over is held back until then.
   void SetComplete(const PartitionKey& partition, bool complete);
 
-  /// Since when this instance knew of every SYN of the partition, to be told
-  /// with the end of the hand-over; nothing when it can't vouch for that.
+  /// Sets since when this instance has tracked every SYN of the partition, to
+  /// be sent with the end of the hand-over; empty if it can't guarantee that.
   void SetOpeningsKnown(const PartitionKey& partition,
                         std::optional<std::chrono::milliseconds> since);
 
@@ -92,42 +97,43 @@
   /// Null when the partition isn't being copied.
   const OutgoingSet* Find(const PartitionKey& partition) const;
 
-  /// The partitions whose flows must be gathered, and how.
-  std::map<PartitionKey, Gathering> Wanted() const;
+  /// The partitions whose flows must be gathered, with the mode of each.
+  std::map<PartitionKey, GatherMode> PartitionsToGather() const;
 
-  /// Takes the flows of a partition that `Wanted` named.
+  /// Queues the gathered flows of a partition that `PartitionsToGather`
+  /// returned.
   void Load(const PartitionKey& partition, std::vector<FlowException> flows,
             std::chrono::milliseconds now);
 
-  /// Takes one new exception, or the end of one that was copied.
+  /// Queues one new exception, or the end of one that was copied.
   void Add(const PartitionKey& partition, const FlowException& exception,
            std::chrono::milliseconds now);
   void End(const PartitionKey& partition, common::Fingerprint flow,
            std::chrono::milliseconds now);
 
-  /// Takes an acknowledgement. Returns true when it ends a hand-over.
+  /// Handles an acknowledgement. Returns true when it completes a hand-over.
   bool OnAck(common::InstanceId from, const ExceptionCopyAck& ack,
              std::chrono::milliseconds now);
 
-  /// Sends what is due and what the budget allows, and gives up waiting for
-  /// answers that are overdue.
+  /// Sends the messages that are due, as far as the budget allows, and starts a
+  /// full set again where an acknowledgement is overdue.
   void Flush(std::chrono::milliseconds now, Outbox& outbox);
 
-  /// Flows that wait to be sent or acknowledged.
+  /// Flows waiting to be sent plus messages waiting for an acknowledgement.
   std::size_t Waiting() const;
 
   /// Whether a hand-over is under way.
   bool IsHandingOver() const;
 
-  /// How much of the copy budget is left, from 0 to 1.
+  /// The fraction of the copy budget that is left, from 0 to 1.
   double BudgetLeft(std::chrono::milliseconds now) {
     return this->copy_budget.Fill(now);
   }
 
  private:
   bool IsDue(const OutgoingSet& set, std::chrono::milliseconds now) const;
-  void SendSome(const PartitionKey& partition, OutgoingSet& set,
-                std::chrono::milliseconds now, Outbox& outbox);
+  void SendDueMessages(const PartitionKey& partition, OutgoingSet& set,
+                       std::chrono::milliseconds now, Outbox& outbox);
   ExceptionCopy NextMessage(const PartitionKey& partition, OutgoingSet& set);
   void RestartIfOverdue(OutgoingSet& set, std::chrono::milliseconds now);
 
@@ -135,9 +141,9 @@
   std::map<PartitionKey, OutgoingSet> sets;
   common::TokenBucket copy_budget{common::BucketLimits{}};
   common::TokenBucket hand_over_budget{common::BucketLimits{}};
-  /// Never falls while the process lives.
-  std::uint64_t generations{0};
-  /// Where the last flush ended, so that the budget goes round.
+  /// The last generation used; never decreases while the process runs.
+  std::uint64_t last_generation{0};
+  /// Where the last flush ended: partitions share the budget round-robin.
   PartitionKey resume_after;
 };
 
--- a/source/core/exchange/copy_store.cc
+++ b/source/core/exchange/copy_store.cc
@@ -27,7 +27,7 @@
           resend_whole};
 }
 
-void StartWhole(CopySet& set, const ExceptionCopy& copy) {
+void StartFullSet(CopySet& set, const ExceptionCopy& copy) {
   set.generation = copy.generation;
   set.next_sequence = 0;
   set.arriving = true;
@@ -35,7 +35,7 @@
   set.arriving_flows.clear();
 }
 
-void FinishWhole(CopySet& set) {
+void FinishFullSet(CopySet& set) {
   set.flows = std::move(set.arriving_flows);
   set.arriving_flows.clear();
   set.fallback = set.arriving_fallback;
@@ -43,8 +43,8 @@
   set.complete = true;
 }
 
-/// Begins the numbering of a sender's new life. What its earlier life copied
-/// still names flows, so it stays until a whole set replaces it.
+/// Restarts the numbering for a new incarnation of the sender. The flows that
+/// its earlier incarnation copied stay valid until a full set replaces them.
 void StartIncarnation(CopySet& set, common::Incarnation incarnation) {
   set.incarnation = incarnation;
   set.generation = 0;
@@ -55,9 +55,9 @@
 
 }  // namespace
 
-CopySet& CopyStore::SetOf(const PartitionKey& partition,
-                          common::InstanceId from,
-                          common::Incarnation incarnation) {
+CopySet& CopyStore::FindOrAdd(const PartitionKey& partition,
+                              common::InstanceId from,
+                              common::Incarnation incarnation) {
   std::vector<CopySet>& sets = this->partitions[partition];
   const auto found =
       std::find_if(sets.begin(), sets.end(),
@@ -74,26 +74,26 @@
 
 CopyOutcome CopyStore::Apply(common::InstanceId from, const ExceptionCopy& copy,
                              std::chrono::milliseconds now) {
-  CopySet& set = this->SetOf(copy.partition, from, copy.incarnation);
+  CopySet& set = this->FindOrAdd(copy.partition, from, copy.incarnation);
   if (copy.incarnation < set.incarnation) {
-    return {};  // Of an earlier life of the sender, late on the way.
+    return {};  // Delayed message of an earlier incarnation.
   }
   if (copy.incarnation > set.incarnation) {
     StartIncarnation(set, copy.incarnation);
   }
   if (copy.generation < set.generation) {
-    return {};  // Of a set that the sender has replaced.
+    return {};  // Belongs to a set that the sender has replaced.
   }
   const bool starts = copy.generation > set.generation;
   if (!starts && copy.sequence < set.next_sequence) {
-    // Repeated or overtaken. The sender may have missed the answer.
+    // A duplicate or reordered message; its acknowledgement may be lost.
     return {AckOf(copy, set.next_sequence - 1, false), false};
   }
   if (starts && (!copy.whole || copy.sequence != 0)) {
     return {AckOf(copy, copy.sequence, true), false};
   }
   if (starts) {
-    StartWhole(set, copy);
+    StartFullSet(set, copy);
   }
   if (copy.sequence != set.next_sequence) {
     return {AckOf(copy, copy.sequence, true), false};
@@ -102,7 +102,7 @@
   set.updated_at = now;
   ApplyTo(set.arriving ? set.arriving_flows : set.flows, copy);
   if (set.arriving && !copy.whole) {
-    FinishWhole(set);
+    FinishFullSet(set);
   }
   set.handed_over = copy.last;
   return {AckOf(copy, copy.sequence, false), copy.last};
@@ -155,8 +155,8 @@
   if (found == this->partitions.end()) {
     return;
   }
-  // The place in the sender's numbering stays: without it a late copy would
-  // look like a gap and cost a whole set.
+  // The sender's sequence number is kept: without it a late message would look
+  // like a gap and cost a full set.
   for (CopySet& set : found->second) {
     if (set.from == from) {
       set.flows.clear();
@@ -165,7 +165,7 @@
   }
 }
 
-void CopyStore::ForgetHandOvers(const PartitionKey& partition) {
+void CopyStore::ClearHandedOver(const PartitionKey& partition) {
   if (const auto found = this->partitions.find(partition);
       found != this->partitions.end()) {
     for (CopySet& set : found->second) {
--- a/source/core/exchange/copy_store.h
+++ b/source/core/exchange/copy_store.h
@@ -1,4 +1,4 @@
-/// The exceptions that other instances have copied to this one.
+/// Stores the exceptions that other instances have copied to this one.
 #pragma once
 
 #include <tsl/robin_map.h>
@@ -16,43 +16,45 @@
 
 namespace sassafrasdyke::core {
 
-/// Targets by flow.
+/// Target of each copied flow.
 using CopiedFlows =
     tsl::robin_map<common::Fingerprint, common::TargetId, FingerprintHash>;
 
-/// What one sender has copied of one partition.
+/// The flows of one partition that one sender has copied.
 struct CopySet {
   common::InstanceId from;
   common::Incarnation incarnation;
   std::uint64_t generation{0};
   std::uint64_t next_sequence{0};
-  /// Where flows that the set doesn't name are; 0 when the sender doesn't know.
+  /// Target of the flows that the set doesn't name; 0 if the sender doesn't
+  /// know it.
   common::TargetId fallback;
-  /// A whole set has arrived at least once.
+  /// A full set has arrived at least once.
   bool complete{false};
-  /// The last message ended a hand-over: the sender knows nothing more.
+  /// The last message ended a hand-over: the sender has no more flows to send.
   bool handed_over{false};
   CopiedFlows flows;
-  /// A new whole set is arriving; until its end the old fallback counts, and
-  /// both name flows. Mixing the new fallback with half a set would send the
-  /// flows not yet named to the wrong target.
+  /// A new full set is arriving. Until it is complete, the old fallback stays
+  /// in use and lookups consult both sets: with the new fallback and half a
+  /// set, flows that haven't arrived yet would go to the wrong target.
   bool arriving{false};
   common::TargetId arriving_fallback;
   CopiedFlows arriving_flows;
   std::chrono::milliseconds updated_at{0};
 };
 
-/// What a copy did to the store.
+/// The result of applying a message.
 struct CopyOutcome {
   std::optional<ExceptionCopyAck> ack;
-  /// The message ended a hand-over: the sender knows nothing more.
+  /// The message ended a hand-over: the sender has no more flows to send.
   bool handed_over{false};
 };
 
-/// All copy sets, by partition.
+/// The copied sets of all partitions and senders.
 class CopyStore {
  public:
-  /// Applies one copy in order, or asks for the whole.
+  /// Applies a message if it is the next in sequence; after a gap, asks the
+  /// sender for the full set.
   CopyOutcome Apply(common::InstanceId from, const ExceptionCopy& copy,
                     std::chrono::milliseconds now);
 
@@ -60,41 +62,41 @@
   std::optional<common::TargetId> Find(const PartitionKey& partition,
                                        common::Fingerprint flow) const;
 
-  /// The sets held of a partition.
+  /// The sets of a partition, one for each sender.
   const std::vector<CopySet>& SetsOf(const PartitionKey& partition) const;
 
   /// The set of one sender; null when there is none.
   const CopySet* SetFrom(const PartitionKey& partition,
                          common::InstanceId from) const;
 
-  /// Forgets one flow; it has ended, or a newer word about it is known.
+  /// Removes a flow that has ended or is superseded by newer information.
   void EraseFlow(const PartitionKey& partition, common::Fingerprint flow);
 
-  /// Forgets the flows that a sender has copied of a partition.
+  /// Removes the flows that `from` has copied of a partition.
   void EraseFlows(const PartitionKey& partition, common::InstanceId from);
 
-  /// The hand-overs of a partition that were received are history: their
-  /// senders may come to know more than they told.
-  void ForgetHandOvers(const PartitionKey& partition);
+  /// Clears `handed_over` in all sets of a partition: their senders may have
+  /// learned of more flows since.
+  void ClearHandedOver(const PartitionKey& partition);
 
-  /// Forgets every flow at a target that is no more.
+  /// Removes every flow and fallback at a target that no longer exists.
   void EraseTarget(common::TargetId target);
 
-  /// Forgets the sets that `keep` refuses.
+  /// Removes the sets for which `keep` returns false.
   void EraseUnless(
       const std::function<bool(const PartitionKey&, const CopySet&)>& keep);
 
-  /// Flows held, of all sets.
+  /// Number of flows in all sets.
   std::size_t Size() const;
 
  private:
-  CopySet& SetOf(const PartitionKey& partition, common::InstanceId from,
-                 common::Incarnation incarnation);
+  CopySet& FindOrAdd(const PartitionKey& partition, common::InstanceId from,
+                     common::Incarnation incarnation);
 
   std::map<PartitionKey, std::vector<CopySet>> partitions;
 };
 
-/// The union of what a set names, old and arriving.
+/// The flows of the current and the arriving set; the arriving one wins.
 CopiedFlows AllFlows(const CopySet& set);
 
 }  // namespace sassafrasdyke::core
--- a/source/core/exchange/exchange.cc
+++ b/source/core/exchange/exchange.cc
@@ -6,25 +6,30 @@
 namespace sassafrasdyke::core {
 namespace {
 
-/// Longest time a new owner asks the one before it. By then a hand-over within
-/// the byte budget has long ended, unless the other is stuck.
-constexpr std::chrono::milliseconds kAskLimit{std::chrono::seconds{30}};
-/// Time to ask after a cut has healed or a lease has come back.
-constexpr std::chrono::milliseconds kAskAfterSilence{std::chrono::seconds{10}};
-/// A denial may be lost; it is repeated no more often than this.
-constexpr std::chrono::milliseconds kDenyInterval{std::chrono::seconds{1}};
-/// Copies of an instance that no longer owns are dropped after this.
-constexpr std::chrono::milliseconds kKeepCopies{std::chrono::minutes{1}};
-constexpr std::chrono::milliseconds kCleanInterval{std::chrono::seconds{10}};
-/// Pending flows looked at in one tick.
-constexpr std::size_t kQueueBatch = 2000;
-/// Burst of the budgets, in seconds of their average.
+/// Longest time for which a new owner asks its predecessor. A hand-over within
+/// the byte budget has long ended by then, unless the predecessor is stuck.
+constexpr std::chrono::milliseconds kInquiryLimit{std::chrono::seconds{30}};
+/// Time to ask after a network partition has healed or a lease was regained;
+/// also the time after which a partly received set counts as abandoned.
+constexpr std::chrono::milliseconds kInquiryAfterOutage{
+    std::chrono::seconds{10}};
+/// Shortest time between two negative answers, which are repeated because a
+/// message may be lost.
+constexpr std::chrono::milliseconds kNegativeAnswerInterval{
+    std::chrono::seconds{1}};
+/// How long the copies of an instance that is no longer the owner are kept.
+constexpr std::chrono::milliseconds kCopyRetention{std::chrono::minutes{1}};
+constexpr std::chrono::milliseconds kCleanupInterval{std::chrono::seconds{10}};
+/// Pending flows checked in one tick at most.
+constexpr std::size_t kMaxPendingChecks = 2000;
+/// Burst of the byte budgets, in seconds of their average rate.
 constexpr std::size_t kBurstSeconds = 4;
-/// Factors on the deviation threshold with the budget half and nearly used.
-constexpr double kHalfUsed = 0.5;
-constexpr double kNearlyUsed = 0.25;
-constexpr double kHalfReluctance = 2.0;
-constexpr double kNearlyReluctance = 8.0;
+/// Fractions of the copy budget left below which the deviation threshold is
+/// raised, and the factors on it.
+constexpr double kHalfBudgetLeft = 0.5;
+constexpr double kQuarterBudgetLeft = 0.25;
+constexpr double kHalfBudgetFactor = 2.0;
+constexpr double kQuarterBudgetFactor = 8.0;
 
 bool Contains(const std::vector<common::DomainId>& domains,
               common::DomainId domain) {
@@ -38,19 +43,19 @@
 }  // namespace
 
 Exchange::Exchange(common::InstanceId self, common::Incarnation incarnation,
-                   FlowWorld& world)
+                   LocalState& local)
     : self(self),
-      world(world),
+      local(local),
       sender(incarnation),
-      fallbacks(world, this->store),
-      gatherer(world, this->store, this->unresolved, this->sender),
-      inquiry(self, world) {}
+      fallbacks(local, this->store),
+      gatherer(local, this->store, this->unresolved, this->sender),
+      inquiry(self, local) {}
 
 void Exchange::OnConfiguration(const std::vector<common::TargetId>& ended,
                                std::chrono::milliseconds now, Outbox& outbox) {
-  const FleetPolicy& policy = this->world.InForce().policy;
-  // Hand-overs have what the whole budget leaves beside the copies: they come
-  // seldom, and a leaving instance waits for them.
+  const FleetPolicy& policy = this->local.CurrentConfiguration().policy;
+  // Hand-overs get what the copies leave of the total budget: they are rare,
+  // and a leaving instance waits for them.
   const std::size_t rest =
       policy.control_bytes_per_second -
       std::min(policy.control_bytes_per_second, policy.copy_bytes_per_second);
@@ -60,28 +65,28 @@
     this->store.EraseTarget(target);
     this->unresolved.EraseTarget(target);
   }
-  if (!this->world.IsReady()) {
+  if (!this->local.IsReady()) {
     return;
   }
-  for (std::uint32_t i = 0; i < this->world.Partitions().size(); ++i) {
+  for (std::uint32_t i = 0; i < this->local.Partitions().size(); ++i) {
     if (this->fallbacks.Refresh(PartitionIndex{i})) {
-      this->Note(PartitionIndex{i}, PartitionEvent::kFallbackChanged, {},
-                 outbox);
+      this->RecordDecision(PartitionIndex{i}, PartitionEvent::kFallbackChanged,
+                           {}, outbox);
     }
   }
   this->Reconcile(now, outbox);
-  for (std::uint32_t i = 0; i < this->world.Partitions().size(); ++i) {
-    this->AbsorbResolved(PartitionIndex{i}, now);
+  for (std::uint32_t i = 0; i < this->local.Partitions().size(); ++i) {
+    this->ImportResolved(PartitionIndex{i}, now);
   }
 }
 
 void Exchange::OnView(const FleetView& before, std::chrono::milliseconds now,
                       Outbox& outbox) {
-  if (!this->world.IsReady()) {
+  if (!this->local.IsReady()) {
     return;
   }
   this->Reconcile(now, outbox);
-  const FleetView& view = this->world.Owners().View();
+  const FleetView& view = this->local.Owners().View();
   std::vector<common::DomainId> healed;
   for (const common::DomainId domain : before.unreachable) {
     if (!Contains(view.unreachable, domain)) {
@@ -89,45 +94,48 @@
     }
   }
   if (!healed.empty()) {
-    this->AskHealed(healed, now);
+    this->InquireInHealedDomains(healed, now);
   }
   if (before.lease != Lease::kStale || view.lease != Lease::kHeld) {
     return;
   }
-  // While this instance was stale, its standbys placed in its stead.
-  for (std::uint32_t i = 0; i < this->world.Partitions().size(); ++i) {
+  // While this instance was stale, its standbys placed flows on its behalf.
+  for (std::uint32_t i = 0; i < this->local.Partitions().size(); ++i) {
     const PartitionIndex partition{i};
-    if (this->world.StateOf(partition).owned) {
-      this->AskFor(partition, this->world.Owners().At(partition).standby,
-                   now + kAskAfterSilence);
+    if (this->local.StateOf(partition).owned) {
+      this->StartInquiry(partition, this->local.Owners().At(partition).standby,
+                         now + kInquiryAfterOutage);
     }
   }
 }
 
-void Exchange::AskHealed(const std::vector<common::DomainId>& healed,
-                         std::chrono::milliseconds now) {
-  for (std::uint32_t i = 0; i < this->world.Partitions().size(); ++i) {
+void Exchange::InquireInHealedDomains(
+    const std::vector<common::DomainId>& healed,
+    std::chrono::milliseconds now) {
+  for (std::uint32_t i = 0; i < this->local.Partitions().size(); ++i) {
     const PartitionIndex partition{i};
-    if (!this->world.StateOf(partition).owned) {
+    if (!this->local.StateOf(partition).owned) {
       continue;
     }
-    // The first of the other side in the common order stood in for this one.
-    const auto others = this->world.Subsets().At(partition).substitutes;
+    // Of the domains on the other side, the first in the common order placed
+    // flows on behalf of this one.
+    const auto others = this->local.Subsets().At(partition).substitutes;
     const auto adopter = std::find_if(
         others.begin(), others.end(),
         [&healed](common::DomainId other) { return Contains(healed, other); });
     if (adopter != others.end()) {
-      this->AskFor(partition,
-                   this->world.Owners().NextBeside(
-                       this->world.Subsets().HashOf(partition), *adopter),
-                   now + kAskAfterSilence);
+      this->StartInquiry(partition,
+                         this->local.Owners().NextBeside(
+                             this->local.Subsets().HashOf(partition), *adopter),
+                         now + kInquiryAfterOutage);
     }
   }
 }
 
-void Exchange::AskFor(PartitionIndex partition, common::InstanceId previous,
-                      std::chrono::milliseconds until) {
-  PartitionState& state = this->world.StateOf(partition);
+void Exchange::StartInquiry(PartitionIndex partition,
+                            common::InstanceId previous,
+                            std::chrono::milliseconds until) {
+  PartitionState& state = this->local.StateOf(partition);
   if (state.previous.value == 0 && previous != this->self) {
     state.previous = previous;
     state.ask_until = until;
@@ -135,57 +143,59 @@
 }
 
 void Exchange::Reconcile(std::chrono::milliseconds now, Outbox& outbox) {
-  for (std::uint32_t i = 0; i < this->world.Partitions().size(); ++i) {
-    this->ReconcileOne(PartitionIndex{i}, now, outbox);
+  for (std::uint32_t i = 0; i < this->local.Partitions().size(); ++i) {
+    this->ReconcilePartition(PartitionIndex{i}, now, outbox);
   }
 }
 
-void Exchange::ReconcileOne(PartitionIndex partition,
-                            std::chrono::milliseconds now, Outbox& outbox) {
-  const common::InstanceId owner = this->world.Owners().At(partition).owner;
-  PartitionState& state = this->world.StateOf(partition);
+void Exchange::ReconcilePartition(PartitionIndex partition,
+                                  std::chrono::milliseconds now,
+                                  Outbox& outbox) {
+  const common::InstanceId owner = this->local.Owners().At(partition).owner;
+  PartitionState& state = this->local.StateOf(partition);
   const std::optional<CopyDestination> destination = this->DestinationOf(owner);
   const common::Incarnation incarnation =
       destination ? destination->incarnation : common::Incarnation{};
-  // A new owner that has just joined asks the standby, which may never have
-  // decided anything: it says so, or returns what others have copied here.
+  // A new owner that has just joined asks its standby. If this standby never
+  // owned the partition, it returns what others have copied to it, if anything.
   const bool asks_standby =
       owner != state.seen_owner &&
-      this->world.Owners().At(partition).standby == this->self;
-  // A new life of the owner at the same address knows nothing of what its
-  // earlier life copied here.
-  const bool reborn = owner == state.seen_owner &&
-                      incarnation != state.seen_incarnation &&
-                      state.seen_incarnation.value != 0 && destination &&
-                      this->HoldsForeignWord(partition, *destination);
+      this->local.Owners().At(partition).standby == this->self;
+  // A restarted owner has lost the flows that its earlier incarnation copied
+  // here.
+  const bool owner_restarted =
+      owner == state.seen_owner && incarnation != state.seen_incarnation &&
+      state.seen_incarnation.value != 0 && destination &&
+      this->HoldsCopiesFromOthers(partition, *destination);
   if (state.previous == owner) {
-    state.previous = {};  // It decides now; there is nothing to wait for.
+    state.previous = {};  // It is the owner now; don't wait for it.
   }
   if (owner == this->self) {
     if (!state.owned) {
-      this->Take(partition, now, outbox);
+      this->TakeOwnership(partition, now, outbox);
     }
     this->UpdateStandby(partition);
   } else if (state.owned) {
-    this->GiveUp(partition, outbox);
-  } else if (state.remembers && owner != state.given_up_to) {
-    // The heir went, too: the next one is told everything, at once. Its end may
-    // have to wait until this instance has learned all.
+    this->GiveUpOwnership(partition, outbox);
+  } else if (state.keeps_records && owner != state.given_up_to) {
+    // The new owner was replaced as well: the next one gets the full state at
+    // once. The end of that hand-over may have to wait until this instance has
+    // received everything itself.
     state.given_up_to = owner;
     state.openings_known_since.reset();
     state.handed_over = false;
-    this->sender.Stop(PartitionKey(this->world.Directory().KeyOf(partition)));
+    this->sender.Stop(PartitionKey(this->local.Directory().KeyOf(partition)));
     this->StartHandOver(partition);
-  } else if (state.stood_in && owner != state.seen_owner) {
-    // The flows that were placed in the last owner's stead are now the next
-    // one's, who may not have heard of them.
-    this->sender.Stop(PartitionKey(this->world.Directory().KeyOf(partition)));
+  } else if (state.placed_for_owner && owner != state.seen_owner) {
+    // Flows placed on behalf of the last owner now belong to the next one,
+    // which may not know them.
+    this->sender.Stop(PartitionKey(this->local.Directory().KeyOf(partition)));
     this->StartHandOver(partition);
-  } else if (asks_standby || reborn) {
+  } else if (asks_standby || owner_restarted) {
     this->StartHandOver(partition);
   }
   if (state.seen_owner != owner) {
-    this->inquiry.OnFormer(partition, state.seen_owner, now);
+    this->inquiry.OnFormerOwner(partition, state.seen_owner, now);
   }
   state.seen_owner = owner;
   state.seen_incarnation = incarnation;
@@ -193,49 +203,50 @@
 
 std::optional<CopyDestination> Exchange::DestinationOf(
     common::InstanceId id) const {
-  const InstanceView* const instance = this->world.Owners().Find(id);
+  const InstanceView* const instance = this->local.Owners().Find(id);
   if (instance == nullptr) {
     return std::nullopt;
   }
   return CopyDestination{id, instance->incarnation};
 }
 
-common::InstanceId Exchange::PreviousOf(PartitionIndex partition) const {
-  const PartitionState& state = this->world.StateOf(partition);
-  const OwnerMap& owners = this->world.Owners();
+common::InstanceId Exchange::PredecessorOf(PartitionIndex partition) const {
+  const PartitionState& state = this->local.StateOf(partition);
+  const OwnerMap& owners = this->local.Owners();
   if (state.seen_owner.value != 0) {
     return state.seen_owner;
   }
-  // This instance has just joined. Without it the partition would be with the
-  // next in the order, so that one knows.
+  // This instance has just joined. Without it the next instance in the order
+  // would be the owner, so that one has the flows.
   if (owners.At(partition).adopted) {
     return {};
   }
-  return owners.NextBeside(this->world.Subsets().HashOf(partition),
+  return owners.NextBeside(this->local.Subsets().HashOf(partition),
                            owners.View().domain);
 }
 
-void Exchange::Take(PartitionIndex partition, std::chrono::milliseconds now,
-                    Outbox& outbox) {
-  PartitionState& state = this->world.StateOf(partition);
-  const PartitionKey& key = this->world.Directory().KeyOf(partition);
-  const OwnerMap& owners = this->world.Owners();
-  const common::InstanceId before = this->PreviousOf(partition);
+void Exchange::TakeOwnership(PartitionIndex partition,
+                             std::chrono::milliseconds now, Outbox& outbox) {
+  PartitionState& state = this->local.StateOf(partition);
+  const PartitionKey& key = this->local.Directory().KeyOf(partition);
+  const OwnerMap& owners = this->local.Owners();
+  const common::InstanceId before = this->PredecessorOf(partition);
   state.owned = true;
   state.owned_since = now;
   state.predecessor = before;
   state.given_up_to = {};
   state.handed_over = false;
-  state.stood_in = false;
+  state.placed_for_owner = false;
   this->sender.Stop(key);
-  if (state.remembers) {
-    state.unsure_until = now + this->world.InForce().policy.lease;
+  if (state.keeps_records) {
+    state.no_fallback_until =
+        now + this->local.CurrentConfiguration().policy.lease;
   } else {
     state.fallback = kNoSlot;
-    state.unresolved = {};
-    state.fallback_guessed = true;
+    state.unresolved_fallback = {};
+    state.fallback_provisional = true;
   }
-  state.remembers = false;
+  state.keeps_records = false;
   const CopySet* const set = this->store.SetFrom(key, before);
   for (const CopySet& other : this->store.SetsOf(key)) {
     if (other.handed_over && other.fallback.value != 0) {
@@ -246,30 +257,32 @@
     this->fallbacks.Adopt(partition, set->fallback);
   }
   if (state.fallback == kNoSlot && !owners.At(partition).adopted) {
-    state.fallback = this->world.DefaultTarget(partition);
+    state.fallback = this->local.DefaultTarget(partition);
   }
-  state.told = set != nullptr && set->handed_over;
-  if (before.value != 0 && owners.IsAnswering(before) && !state.told) {
-    this->AskFor(partition, before, now + kAskLimit);
+  state.predecessor_done = set != nullptr && set->handed_over;
+  if (before.value != 0 && owners.IsAnswering(before) &&
+      !state.predecessor_done) {
+    this->StartInquiry(partition, before, now + kInquiryLimit);
   } else {
-    this->AbsorbAll(partition, now);
+    this->ImportAllSets(partition, now);
   }
-  this->AbsorbHandOvers(partition, now, outbox);
+  this->ImportHandOvers(partition, now, outbox);
   const InstanceView* const other = owners.Find(before);
   if (other != nullptr && other->use == InstanceUse::kSuspected) {
-    state.contested_until = now + this->world.InForce().policy.lease;
+    state.contested_until =
+        now + this->local.CurrentConfiguration().policy.lease;
   }
-  this->Note(partition, PartitionEvent::kTaken, before, outbox);
+  this->RecordDecision(partition, PartitionEvent::kTaken, before, outbox);
 }
 
-// A sender forgets what is confirmed, and answers with nothing when it is asked
-// again. That answer would replace a set that was left in the store.
-void Exchange::AbsorbHandOvers(PartitionIndex partition,
+// A sender drops what is acknowledged and answers a later inquiry with an empty
+// set. That answer would replace a set that was left in the store.
+void Exchange::ImportHandOvers(PartitionIndex partition,
                                std::chrono::milliseconds now, Outbox& outbox) {
-  const PartitionKey& key = this->world.Directory().KeyOf(partition);
+  const PartitionKey& key = this->local.Directory().KeyOf(partition);
   for (const CopySet& set : this->store.SetsOf(key)) {
     if (set.handed_over) {
-      this->Absorb(partition, set, now);
+      this->ImportSet(partition, set, now);
       outbox.messages.push_back(
           {set.from, ExceptionCopyAck{key, set.incarnation, set.generation,
                                       set.next_sequence - 1, false}});
@@ -277,52 +290,52 @@
   }
 }
 
-void Exchange::GiveUp(PartitionIndex partition, Outbox& outbox) {
-  PartitionState& state = this->world.StateOf(partition);
-  const common::InstanceId owner = this->world.Owners().At(partition).owner;
+void Exchange::GiveUpOwnership(PartitionIndex partition, Outbox& outbox) {
+  PartitionState& state = this->local.StateOf(partition);
+  const common::InstanceId owner = this->local.Owners().At(partition).owner;
   state.openings_known_since = state.OpeningsKnownSince();
   state.claim.reset();
   state.owned = false;
-  state.remembers = true;
+  state.keeps_records = true;
   state.handed_over = false;
   state.given_up_to = owner;
-  // Without this the partition's return would find the end of the earlier
-  // hand-over, and the instance that has decided since would not be asked: its
-  // flows would go by the fallback to a target that resets them.
-  this->store.ForgetHandOvers(this->world.Directory().KeyOf(partition));
-  this->Note(partition, PartitionEvent::kGivenUp, owner, outbox);
+  // Otherwise, when the partition returns, the earlier hand-over would look
+  // like a current one and the owner in between would not be asked: its flows
+  // would go to the fallback, whose target resets them.
+  this->store.ClearHandedOver(this->local.Directory().KeyOf(partition));
+  this->RecordDecision(partition, PartitionEvent::kGivenUp, owner, outbox);
   this->StartHandOver(partition);
 }
 
 void Exchange::StartHandOver(PartitionIndex partition) {
-  const PartitionKey& key = this->world.Directory().KeyOf(partition);
+  const PartitionKey& key = this->local.Directory().KeyOf(partition);
   const auto destination =
-      this->DestinationOf(this->world.Owners().At(partition).owner);
+      this->DestinationOf(this->local.Owners().At(partition).owner);
   if (destination) {
     this->sender.Start(key, *destination, CopyPurpose::kHandOver,
-                       this->ClaimFor(partition, *destination));
-    // "Everything is handed over" would not be true while this instance itself
-    // still learns from the one before it.
-    const PartitionState& state = this->world.StateOf(partition);
+                       this->FallbackToAnnounce(partition, *destination));
+    // The hand-over must not end while this instance still receives flows from
+    // its own predecessor.
+    const PartitionState& state = this->local.StateOf(partition);
     this->sender.SetComplete(key, state.previous.value == 0);
     this->sender.SetOpeningsKnown(
         key, state.IsHandingOver() ? state.openings_known_since : std::nullopt);
   }
 }
 
-void Exchange::StartDeferred(std::chrono::milliseconds now) {
-  for (std::uint32_t i = 0; i < this->world.Partitions().size(); ++i) {
+void Exchange::StartDeferredHandOvers(std::chrono::milliseconds now) {
+  for (std::uint32_t i = 0; i < this->local.Partitions().size(); ++i) {
     const PartitionIndex partition{i};
-    PartitionState& state = this->world.StateOf(partition);
+    PartitionState& state = this->local.StateOf(partition);
     if (state.previous.value != 0 && !this->inquiry.Previous(partition, now)) {
       state.previous = {};
       if (state.owned) {
-        this->AbsorbAll(partition, now);
+        this->ImportAllSets(partition, now);
         this->UpdateStandby(partition);
       }
     }
     this->SettleFallback(partition, now);
-    const PartitionKey& key = this->world.Directory().KeyOf(partition);
+    const PartitionKey& key = this->local.Directory().KeyOf(partition);
     const OutgoingSet* const set = this->sender.Find(key);
     const bool started =
         set != nullptr && set->purpose == CopyPurpose::kHandOver;
@@ -334,87 +347,91 @@
   }
 }
 
-bool Exchange::HoldsForeignWord(PartitionIndex partition,
-                                const CopyDestination& destination) const {
+bool Exchange::HoldsCopiesFromOthers(PartitionIndex partition,
+                                     const CopyDestination& destination) const {
   const auto& sets =
-      this->store.SetsOf(this->world.Directory().KeyOf(partition));
+      this->store.SetsOf(this->local.Directory().KeyOf(partition));
   return std::any_of(sets.begin(), sets.end(),
                      [&destination](const CopySet& set) {
-                       return !KnowsItself(destination, set);
+                       return !IsOwnCopy(destination, set);
                      });
 }
 
 void Exchange::SettleFallback(PartitionIndex partition,
                               std::chrono::milliseconds now) {
-  PartitionState& state = this->world.StateOf(partition);
-  const bool settles =
-      state.owned && state.fallback_guessed &&
-      !this->IsLearning(partition, now) &&
-      now - state.owned_since >= this->world.InForce().policy.lease;
+  PartitionState& state = this->local.StateOf(partition);
+  const bool settles = state.owned && state.fallback_provisional &&
+                       !this->IsLearning(partition, now) &&
+                       now - state.owned_since >=
+                           this->local.CurrentConfiguration().policy.lease;
   if (settles) {
-    // Nobody has claimed to know better, and the flows that were opened since
+    // No other instance has sent a better one, and the flows opened since then
     // rely on it.
-    state.fallback_guessed = false;
+    state.fallback_provisional = false;
     this->UpdateStandby(partition);
   }
 }
 
-void Exchange::FlipFallbacks(std::chrono::milliseconds now, Outbox& outbox) {
-  for (std::uint32_t i = 0; i < this->world.Partitions().size(); ++i) {
+void Exchange::MoveFallbacks(std::chrono::milliseconds now, Outbox& outbox) {
+  for (std::uint32_t i = 0; i < this->local.Partitions().size(); ++i) {
     const PartitionIndex partition{i};
-    if (this->fallbacks.Flip(partition, now)) {
+    if (this->fallbacks.MoveToLargest(partition, now)) {
       this->UpdateStandby(partition);
-      this->Note(partition, PartitionEvent::kFallbackChanged, {}, outbox);
+      this->RecordDecision(partition, PartitionEvent::kFallbackChanged, {},
+                           outbox);
     }
   }
 }
 
 void Exchange::UpdateStandby(PartitionIndex partition) {
-  const PartitionKey& key = this->world.Directory().KeyOf(partition);
-  // A new life of this instance must not replace what its earlier life copied
-  // to the standby before it has learned it again.
-  if (this->world.StateOf(partition).previous.value != 0) {
+  const PartitionKey& key = this->local.Directory().KeyOf(partition);
+  // After a restart this instance must not replace what its earlier incarnation
+  // copied to the standby before it has received those flows again.
+  if (this->local.StateOf(partition).previous.value != 0) {
     return;
   }
   const auto destination =
-      this->DestinationOf(this->world.Owners().At(partition).standby);
+      this->DestinationOf(this->local.Owners().At(partition).standby);
   if (!destination) {
     this->sender.Stop(key);
     return;
   }
   this->sender.Start(key, *destination, CopyPurpose::kStandby,
-                     this->fallbacks.IdOf(partition));
+                     this->fallbacks.AnnouncedId(partition));
 }
 
 void Exchange::OnCopy(common::InstanceId from, const ExceptionCopy& copy,
                       std::chrono::milliseconds now, Outbox& outbox) {
-  const auto partition = this->world.IsReady()
-                             ? this->world.Directory().Find(copy.partition)
+  const auto partition = this->local.IsReady()
+                             ? this->local.Directory().Find(copy.partition)
                              : std::nullopt;
   if (!partition) {
-    return;  // No answer: the sender tries again when we know the service.
+    // Not acknowledged, so the sender retries until the service is known here.
+    return;
   }
   const CopyOutcome outcome = this->store.Apply(from, copy, now);
-  PartitionState& state = this->world.StateOf(*partition);
+  PartitionState& state = this->local.StateOf(*partition);
   const CopySet* const set = this->store.SetFrom(copy.partition, from);
-  const bool learns = state.owned || state.previous == from;
-  // To confirm the end of a hand-over is to answer for the partition from then
-  // on; the sender forgets it. Whoever isn't the owner in its own eyes leaves
-  // the sender waiting, until its own view or the sender's has caught up.
-  if (outcome.ack && (learns || !set->handed_over)) {
+  const bool accepts_hand_over = state.owned || state.previous == from;
+  // Acknowledging the end of a hand-over means taking responsibility for the
+  // partition: the sender then drops its state. An instance that isn't the
+  // owner in its own view doesn't acknowledge it, so that the sender waits
+  // until the views agree.
+  if (outcome.ack && (accepts_hand_over || !set->handed_over)) {
     outbox.messages.push_back({from, *outcome.ack});
   }
   const bool decides = state.owned || state.IsHandingOver();
   if (decides && set->complete && !set->arriving && set->fallback.value != 0 &&
-      (state.previous == from || state.fallback_guessed)) {
+      (state.previous == from || state.fallback_provisional)) {
     this->fallbacks.Adopt(*partition, set->fallback);
   }
-  if (outcome.handed_over && learns) {
-    state.told = state.told || from == state.predecessor;
-    this->Absorb(*partition, *set, now);
+  if (outcome.handed_over && accepts_hand_over) {
+    state.predecessor_done =
+        state.predecessor_done || from == state.predecessor;
+    this->ImportSet(*partition, *set, now);
     if (state.previous == from) {
       state.previous = {};
-      this->AbsorbAll(*partition, now);
+      this->ImportAllSets(*partition, now);
     }
     if (state.owned) {
       this->UpdateStandby(*partition);
@@ -423,11 +440,11 @@
     }
     return;
   }
-  const bool copied_back = state.remembers && state.handed_over &&
+  const bool copied_back = state.keeps_records && state.handed_over &&
                            from == state.given_up_to && set->complete &&
                            !set->arriving;
   if (copied_back) {
-    state.Forget();
+    state.VoidRecords();
     this->unresolved.ErasePartition(copy.partition);
   }
 }
@@ -437,22 +454,22 @@
   if (!this->sender.OnAck(from, ack, now)) {
     return;
   }
-  const auto partition = this->world.Directory().Find(ack.partition);
+  const auto partition = this->local.Directory().Find(ack.partition);
   this->sender.Stop(ack.partition);
   if (!partition) {
     return;
   }
-  PartitionState& state = this->world.StateOf(*partition);
-  state.stood_in = false;
+  PartitionState& state = this->local.StateOf(*partition);
+  state.placed_for_owner = false;
   if (!state.IsHandingOver()) {
-    return;  // What it told was only placed on behalf of the owner.
+    return;  // Only flows placed on behalf of the owner were sent.
   }
   state.handed_over = true;
-  this->Note(*partition, PartitionEvent::kHandedOver, from, outbox);
-  // The standby keeps its records until the new owner has copied them back:
-  // else the death of the new owner right now would lose them.
-  if (this->world.Owners().At(*partition).standby != this->self) {
-    state.Forget();
+  this->RecordDecision(*partition, PartitionEvent::kHandedOver, from, outbox);
+  // The standby keeps its records until the new owner has copied them back;
+  // otherwise a crash of the new owner at this point would lose them.
+  if (this->local.Owners().At(*partition).standby != this->self) {
+    state.VoidRecords();
     this->unresolved.ErasePartition(ack.partition);
   }
 }
@@ -460,116 +477,120 @@
 void Exchange::OnOpeningsKnown(common::InstanceId from,
                                const OpeningsKnown& known,
                                std::chrono::milliseconds now) {
-  const auto partition = this->world.IsReady()
-                             ? this->world.Directory().Find(known.partition)
+  const auto partition = this->local.IsReady()
+                             ? this->local.Directory().Find(known.partition)
                              : std::nullopt;
   if (partition) {
-    this->world.StateOf(*partition).claim = {from, now - known.known_for};
+    this->local.StateOf(*partition).claim = {from, now - known.known_for};
   }
 }
 
 void Exchange::OnOpened(common::Fingerprint flow, PartitionIndex partition,
                         const FlowRecord& record,
                         std::chrono::milliseconds now) {
-  const PartitionState& state = this->world.StateOf(partition);
-  const PartitionKey& key = this->world.Directory().KeyOf(partition);
+  const PartitionState& state = this->local.StateOf(partition);
+  const PartitionKey& key = this->local.Directory().KeyOf(partition);
   if (!state.owned) {
-    // Placed in the owner's stead. It must learn of the flow at once: the next
-    // packet may reach it directly.
-    this->world.StateOf(partition).stood_in = true;
+    // Placed on behalf of the owner, which must learn of the flow at once: the
+    // next packet may reach it directly.
+    this->local.StateOf(partition).placed_for_owner = true;
     if (this->sender.Find(key) == nullptr) {
       this->StartHandOver(partition);
     }
     this->sender.Add(
-        key, {flow, this->world.Targets().At(record.target).target.id}, now);
+        key, {flow, this->local.Targets().At(record.target).target.id}, now);
     return;
   }
-  if (!this->fallbacks.Finds(record, partition)) {
-    const ServiceIndex service = this->world.Directory().ServiceOf(partition);
-    this->pending.push_back(
+  if (!this->fallbacks.IsAtFallback(record, partition)) {
+    const ServiceIndex service = this->local.Directory().ServiceOf(partition);
+    this->pending_copies.push_back(
         {flow, key.service,
-         now + this->world.Directory().At(service).policy.copy_after});
+         now + this->local.Directory().At(service).policy.copy_after});
   }
 }
 
 void Exchange::OnEnded(common::Fingerprint flow, const FlowRecord& record,
                        std::chrono::milliseconds now) {
-  const auto partition = this->world.PartitionOf(flow, record.service);
-  if (record.copied && partition && this->world.IsLive(record, *partition)) {
-    this->sender.End(this->world.Directory().KeyOf(*partition), flow, now);
+  const auto partition = this->local.PartitionOf(flow, record.service);
+  if (record.copied && partition && this->local.IsLive(record, *partition)) {
+    this->sender.End(this->local.Directory().KeyOf(*partition), flow, now);
   }
 }
 
-void Exchange::OnAskedInVain(PartitionIndex partition, common::InstanceId asker,
-                             std::chrono::milliseconds now) {
-  PartitionState& state = this->world.StateOf(partition);
-  const bool recently =
-      state.denied_at.count() >= 0 && now - state.denied_at < kDenyInterval;
-  if (state.IsHandingOver() || recently ||
-      asker != this->world.Owners().At(partition).owner) {
+void Exchange::OnUnansweredInquiry(PartitionIndex partition,
+                                   common::InstanceId asker,
+                                   std::chrono::milliseconds now) {
+  PartitionState& state = this->local.StateOf(partition);
+  const bool answered_recently =
+      state.negative_answer_at.count() >= 0 &&
+      now - state.negative_answer_at < kNegativeAnswerInterval;
+  if (state.IsHandingOver() || answered_recently ||
+      asker != this->local.Owners().At(partition).owner) {
     return;
   }
-  state.denied_at = now;
+  state.negative_answer_at = now;
   this->StartHandOver(partition);
 }
 
 void Exchange::OnTick(std::chrono::milliseconds now, Outbox& outbox) {
-  if (!this->world.IsReady()) {
+  if (!this->local.IsReady()) {
     return;
   }
-  this->StartDeferred(now);
-  this->FlipFallbacks(now, outbox);
-  this->QueueDue(now);
+  this->StartDeferredHandOvers(now);
+  this->MoveFallbacks(now, outbox);
+  this->QueueDueCopies(now);
   this->gatherer.Gather(now);
   this->sender.Flush(now, outbox);
   this->DropOldCopies(now);
 }
 
-void Exchange::QueueDue(std::chrono::milliseconds now) {
-  for (std::size_t looks = 0; looks < kQueueBatch; ++looks) {
-    if (this->pending.empty() || this->pending.front().due > now) {
+void Exchange::QueueDueCopies(std::chrono::milliseconds now) {
+  for (std::size_t checks = 0; checks < kMaxPendingChecks; ++checks) {
+    if (this->pending_copies.empty() ||
+        this->pending_copies.front().due > now) {
       return;
     }
-    const Pending next = this->pending.front();
-    this->pending.pop_front();
-    const auto partition = this->world.PartitionOf(next.flow, next.service);
+    const PendingCopy next = this->pending_copies.front();
+    this->pending_copies.pop_front();
+    const auto partition = this->local.PartitionOf(next.flow, next.service);
     FlowRecord* const record =
-        partition ? this->world.LiveRecord(next.flow, *partition) : nullptr;
+        partition ? this->local.LiveRecord(next.flow, *partition) : nullptr;
     if (record == nullptr || record->copied ||
         record->state == FlowState::kClosing ||
-        this->fallbacks.Finds(*record, *partition)) {
+        this->fallbacks.IsAtFallback(*record, *partition)) {
       continue;
     }
     record->copied = true;
     this->sender.Add(
-        this->world.Directory().KeyOf(*partition),
-        {next.flow, this->world.Targets().At(record->target).target.id}, now);
+        this->local.Directory().KeyOf(*partition),
+        {next.flow, this->local.Targets().At(record->target).target.id}, now);
   }
 }
 
-common::TargetId Exchange::ClaimFor(PartitionIndex partition,
-                                    const CopyDestination& destination) const {
-  if (this->world.StateOf(partition).remembers) {
-    return this->fallbacks.IdOf(partition);
+common::TargetId Exchange::FallbackToAnnounce(
+    PartitionIndex partition, const CopyDestination& destination) const {
+  if (this->local.StateOf(partition).keeps_records) {
+    return this->fallbacks.AnnouncedId(partition);
   }
-  // This instance never decided, but may hold the word of one that did.
-  const CopySet* best = nullptr;
+  // This instance never owned the partition, but may hold copies from one that
+  // did.
+  const CopySet* newest = nullptr;
   for (const CopySet& set :
-       this->store.SetsOf(this->world.Directory().KeyOf(partition))) {
-    const bool newer = best == nullptr || set.updated_at > best->updated_at;
-    if (set.complete && !KnowsItself(destination, set) && newer) {
-      best = &set;
+       this->store.SetsOf(this->local.Directory().KeyOf(partition))) {
+    const bool newer = newest == nullptr || set.updated_at > newest->updated_at;
+    if (set.complete && !IsOwnCopy(destination, set) && newer) {
+      newest = &set;
     }
   }
-  return best == nullptr ? common::TargetId{} : best->fallback;
+  return newest == nullptr ? common::TargetId{} : newest->fallback;
 }
 
-void Exchange::Absorb(PartitionIndex partition, const CopySet& set,
-                      std::chrono::milliseconds now) {
-  const PartitionKey& key = this->world.Directory().KeyOf(partition);
+void Exchange::ImportSet(PartitionIndex partition, const CopySet& set,
+                         std::chrono::milliseconds now) {
+  const PartitionKey& key = this->local.Directory().KeyOf(partition);
   for (const auto& [flow, target] : AllFlows(set)) {
-    if (this->world.Targets().Find(target)) {
-      this->AbsorbFlow(partition, {flow, target}, now);
+    if (this->local.Targets().Find(target)) {
+      this->ImportFlow(partition, {flow, target}, now);
     } else {
       this->unresolved.Add(key, {flow, target}, now);
     }
@@ -577,41 +598,41 @@
   this->store.EraseFlows(key, set.from);
 }
 
-void Exchange::AbsorbResolved(PartitionIndex partition,
+void Exchange::ImportResolved(PartitionIndex partition,
                               std::chrono::milliseconds now) {
-  if (!this->world.StateOf(partition).owned) {
+  if (!this->local.StateOf(partition).owned) {
     return;
   }
   const auto is_known = [this](common::TargetId target) {
-    return this->world.Targets().Find(target).has_value();
+    return this->local.Targets().Find(target).has_value();
   };
   for (const FlowException& exception : this->unresolved.TakeKnown(
-           this->world.Directory().KeyOf(partition), is_known)) {
-    this->AbsorbFlow(partition, exception, now);
+           this->local.Directory().KeyOf(partition), is_known)) {
+    this->ImportFlow(partition, exception, now);
   }
 }
 
-void Exchange::AbsorbAll(PartitionIndex partition,
-                         std::chrono::milliseconds now) {
-  const PartitionKey key = this->world.Directory().KeyOf(partition);
+void Exchange::ImportAllSets(PartitionIndex partition,
+                             std::chrono::milliseconds now) {
+  const PartitionKey key = this->local.Directory().KeyOf(partition);
   for (const CopySet& set : this->store.SetsOf(key)) {
-    this->Absorb(partition, set, now);
+    this->ImportSet(partition, set, now);
   }
 }
 
-void Exchange::AbsorbFlow(PartitionIndex partition,
+void Exchange::ImportFlow(PartitionIndex partition,
                           const FlowException& exception,
                           std::chrono::milliseconds now) {
-  const PartitionKey& key = this->world.Directory().KeyOf(partition);
-  const auto slot = this->world.Targets().Find(exception.target);
-  if (!slot || this->world.Targets().At(*slot).target.service != key.service) {
+  const PartitionKey& key = this->local.Directory().KeyOf(partition);
+  const auto slot = this->local.Targets().Find(exception.target);
+  if (!slot || this->local.Targets().At(*slot).target.service != key.service) {
     return;
   }
-  const PartitionState& state = this->world.StateOf(partition);
+  const PartitionState& state = this->local.StateOf(partition);
   const FlowRecord* const known =
-      this->world.LiveRecord(exception.flow, partition);
-  // A packet that came since this instance decides has settled the matter; a
-  // record from before is older than the word of whoever decided meanwhile.
+      this->local.LiveRecord(exception.flow, partition);
+  // A record confirmed by a packet since this instance became the owner takes
+  // precedence; an older one is superseded by the copy of an owner in between.
   if (known != nullptr && known->state != FlowState::kSyn &&
       known->last_seen.Time() + std::chrono::milliseconds{Tick::kMilliseconds} >
           state.owned_since) {
@@ -624,10 +645,10 @@
   record.payload_forwarded = true;
   record.from_copy = true;
   record.copied = (state.owned || state.IsHandingOver()) &&
-                  !this->fallbacks.Finds(record, partition);
-  if (this->world.OpenFlow(exception.flow, partition, record,
+                  !this->fallbacks.IsAtFallback(record, partition);
+  if (this->local.OpenFlow(exception.flow, partition, record,
                            Admission::kEstablishedFlow) == nullptr) {
-    this->world.StateOf(partition).told = false;
+    this->local.StateOf(partition).predecessor_done = false;
   } else if (record.copied) {
     this->sender.Add(key, exception, now);
   }
@@ -639,25 +660,25 @@
     return true;
   }
   const auto& sets =
-      this->store.SetsOf(this->world.Directory().KeyOf(partition));
+      this->store.SetsOf(this->local.Directory().KeyOf(partition));
   return std::any_of(sets.begin(), sets.end(), [now](const CopySet& set) {
-    return set.arriving && now - set.updated_at < kAskAfterSilence;
+    return set.arriving && now - set.updated_at < kInquiryAfterOutage;
   });
 }
 
 bool Exchange::HoldsCopiesOf(common::InstanceId owner,
                              PartitionIndex partition) const {
   const CopySet* const set =
-      this->store.SetFrom(this->world.Directory().KeyOf(partition), owner);
+      this->store.SetFrom(this->local.Directory().KeyOf(partition), owner);
   return set != nullptr && set->complete;
 }
 
 std::optional<TargetSlot> Exchange::FindCopy(common::Fingerprint flow,
                                              PartitionIndex partition) const {
-  const PartitionKey& key = this->world.Directory().KeyOf(partition);
+  const PartitionKey& key = this->local.Directory().KeyOf(partition);
   const auto target = this->NamedTarget(flow, partition);
-  const auto slot = target ? this->world.Targets().Find(*target) : std::nullopt;
-  if (!slot || this->world.Targets().At(*slot).target.service != key.service) {
+  const auto slot = target ? this->local.Targets().Find(*target) : std::nullopt;
+  if (!slot || this->local.Targets().At(*slot).target.service != key.service) {
     return std::nullopt;
   }
   return slot;
@@ -665,87 +686,89 @@
 
 std::optional<common::TargetId> Exchange::NamedTarget(
     common::Fingerprint flow, PartitionIndex partition) const {
-  const PartitionKey& key = this->world.Directory().KeyOf(partition);
+  const PartitionKey& key = this->local.Directory().KeyOf(partition);
   const auto copied = this->store.Find(key, flow);
   return copied ? copied : this->unresolved.Find(key, flow);
 }
 
-// An instance with another view may place flows until its lease ends, and one
-// that died told nobody of its SYNs: a SYN that it forwarded with payload may
-// have run, while its caller repeats it without any.
-bool Exchange::IsSurelyNew(common::Fingerprint flow, PartitionIndex partition,
-                           std::chrono::milliseconds now) const {
-  const PartitionState& state = this->world.StateOf(partition);
-  const ServiceDirectory& directory = this->world.Directory();
-  const std::chrono::milliseconds outdated =
+// An instance with another view may place flows until its lease expires, and
+// one that crashed has reported none of its SYNs: the payload of a SYN that it
+// forwarded may have been processed, while the caller retransmits the SYN
+// without payload.
+bool Exchange::IsCertainlyNew(common::Fingerprint flow,
+                              PartitionIndex partition,
+                              std::chrono::milliseconds now) const {
+  const PartitionState& state = this->local.StateOf(partition);
+  const ServiceDirectory& directory = this->local.Directory();
+  const std::chrono::milliseconds syn_lifetime =
       directory.At(directory.ServiceOf(partition)).policy.syn_idle;
-  const std::chrono::milliseconds settled =
-      std::min(this->world.InForce().policy.lease, outdated);
+  const std::chrono::milliseconds settling_time =
+      std::min(this->local.CurrentConfiguration().policy.lease, syn_lifetime);
   return state.owned && state.previous.value == 0 &&
          !this->NamedTarget(flow, partition) &&
-         now - state.owned_since >= settled &&
-         now - state.OpeningsKnownSince() >= outdated;
+         now - state.owned_since >= settling_time &&
+         now - state.OpeningsKnownSince() >= syn_lifetime;
 }
 
 bool Exchange::AwaitsTarget(common::Fingerprint flow, PartitionIndex partition,
                             std::chrono::milliseconds now) const {
-  const bool soon = now - this->world.StateOf(partition).owned_since <
-                    this->world.InForce().policy.lease;
-  if (!soon) {
+  const bool within_lease = now - this->local.StateOf(partition).owned_since <
+                            this->local.CurrentConfiguration().policy.lease;
+  if (!within_lease) {
     return false;
   }
   const auto target = this->NamedTarget(flow, partition);
-  return target && !this->world.Targets().Find(*target);
+  return target && !this->local.Targets().Find(*target);
 }
 
 void Exchange::EraseCopy(common::Fingerprint flow, PartitionIndex partition) {
-  const PartitionKey& key = this->world.Directory().KeyOf(partition);
+  const PartitionKey& key = this->local.Directory().KeyOf(partition);
   this->store.EraseFlow(key, flow);
   this->unresolved.Erase(key, flow);
 }
 
-double Exchange::Reluctance(std::chrono::milliseconds now) {
+double Exchange::DeviationFactor(std::chrono::milliseconds now) {
   const double left = this->sender.BudgetLeft(now);
-  if (left < kNearlyUsed) {
-    return kNearlyReluctance;
+  if (left < kQuarterBudgetLeft) {
+    return kQuarterBudgetFactor;
   }
-  return left < kHalfUsed ? kHalfReluctance : 1.0;
+  return left < kHalfBudgetLeft ? kHalfBudgetFactor : 1.0;
 }
 
 void Exchange::DropOldCopies(std::chrono::milliseconds now) {
-  if (now - this->cleaned_at < kCleanInterval) {
+  if (now - this->cleaned_at < kCleanupInterval) {
     return;
   }
   this->cleaned_at = now;
-  this->unresolved.EraseOlder(now - kKeepCopies);
+  this->unresolved.EraseOlder(now - kCopyRetention);
   this->store.EraseUnless(
       [this, now](const PartitionKey& key, const CopySet& set) {
-        const auto partition = this->world.Directory().Find(key);
+        const auto partition = this->local.Directory().Find(key);
         if (!partition) {
           return false;
         }
-        const PartitionOwners& owners = this->world.Owners().At(*partition);
+        const PartitionOwners& owners = this->local.Owners().At(*partition);
         return set.from == owners.owner || owners.owner == this->self ||
-               now - set.updated_at < kKeepCopies;
+               now - set.updated_at < kCopyRetention;
       });
 }
 
 std::size_t Exchange::CopiesWaiting() const {
-  return this->pending.size() + this->sender.Waiting();
+  return this->pending_copies.size() + this->sender.Waiting();
 }
 
 bool Exchange::IsHandingOver() const {
-  const auto& partitions = this->world.Partitions();
+  const auto& partitions = this->local.Partitions();
   return std::any_of(partitions.begin(), partitions.end(),
                      [](const PartitionState& state) {
                        return state.owned || state.IsHandingOver();
                      });
 }
 
-void Exchange::Note(PartitionIndex partition, PartitionEvent event,
-                    common::InstanceId other, Outbox& outbox) const {
+void Exchange::RecordDecision(PartitionIndex partition, PartitionEvent event,
+                              common::InstanceId other, Outbox& outbox) const {
   outbox.decisions.emplace_back(PartitionDecision{
-      this->world.Directory().KeyOf(partition), event, other});
+      this->local.Directory().KeyOf(partition), event, other});
 }
 
 }  // namespace sassafrasdyke::core
--- a/source/core/exchange/exchange.h
+++ b/source/core/exchange/exchange.h
@@ -1,4 +1,5 @@
-/// Moves what is known of flows between instances as ownership changes.
+/// Transfers flow state between instances as the ownership of partitions
+/// changes.
 #pragma once
 
 #include <chrono>
@@ -15,24 +16,25 @@
 #include "core/exchange/fallbacks.h"
 #include "core/exchange/owner_inquiry.h"
 #include "core/exchange/unresolved_flows.h"
-#include "core/flow/flow_world.h"
+#include "core/flow/local_state.h"
 #include "core/messages.h"
 
 namespace sassafrasdyke::core {
 
-/// Takes and gives up partitions, keeps the standbys informed, and knows what
-/// other instances have copied to this one.
+/// Takes over and hands over partitions, copies exceptions to the standbys, and
+/// holds the copies that other instances have sent.
 class Exchange {
  public:
-  /// `world` must outlive it.
+  /// `local` must outlive it.
   Exchange(common::InstanceId self, common::Incarnation incarnation,
-           FlowWorld& world);
+           LocalState& local);
 
-  /// The world's configuration changed; `ended` are targets' lives that ended.
+  /// The configuration changed; `ended` lists the targets that were removed or
+  /// whose ids now denote another target.
   void OnConfiguration(const std::vector<common::TargetId>& ended,
                        std::chrono::milliseconds now, Outbox& outbox);
 
-  /// The world's view changed from `before`.
+  /// The fleet view changed from `before`.
   void OnView(const FleetView& before, std::chrono::milliseconds now,
               Outbox& outbox);
 
@@ -43,56 +45,59 @@
   void OnOpeningsKnown(common::InstanceId from, const OpeningsKnown& known,
                        std::chrono::milliseconds now);
 
-  /// A record was made; it is copied when it is an exception that lasts.
+  /// A record was created. It is copied if it is an exception and lives long
+  /// enough, or at once if it was placed on behalf of the owner.
   void OnOpened(common::Fingerprint flow, PartitionIndex partition,
                 const FlowRecord& record, std::chrono::milliseconds now);
 
-  /// A record is about to end.
+  /// A record is about to be erased.
   void OnEnded(common::Fingerprint flow, const FlowRecord& record,
                std::chrono::milliseconds now);
 
-  /// The new owner asks about a flow that is unknown here as well. If this
-  /// instance has nothing of the whole partition, it says so.
-  void OnAskedInVain(PartitionIndex partition, common::InstanceId asker,
-                     std::chrono::milliseconds now);
+  /// The new owner asked about a flow that is unknown here as well. If this
+  /// instance has nothing to hand over for the partition, it answers so with a
+  /// hand-over of its own, at a limited rate.
+  void OnUnansweredInquiry(PartitionIndex partition, common::InstanceId asker,
+                           std::chrono::milliseconds now);
 
   void OnTick(std::chrono::milliseconds now, Outbox& outbox);
 
-  /// Whom to ask about flows that aren't known here.
+  /// Selects the instances to ask about unknown flows.
   OwnerInquiry& Inquiry() { return this->inquiry; }
   const OwnerInquiry& Inquiry() const { return this->inquiry; }
 
-  /// Whether another instance may still have something to tell about the
-  /// partition.
+  /// Whether another instance may still send flows of the partition.
   bool IsLearning(PartitionIndex partition,
                   std::chrono::milliseconds now) const;
 
-  /// Whether this instance is informed as `owner`'s standby.
+  /// Whether this instance holds a full set of `owner`'s copies.
   bool HoldsCopiesOf(common::InstanceId owner, PartitionIndex partition) const;
 
-  /// The target that a copy names for the flow, if it is of the same service.
+  /// The target that a copy names for the flow, if it belongs to the flow's
+  /// service.
   std::optional<TargetSlot> FindCopy(common::Fingerprint flow,
                                      PartitionIndex partition) const;
 
   /// Whether a copy names a target for the flow that this instance's
-  /// configuration will name soon.
+  /// configuration doesn't contain yet, shortly after taking over.
   bool AwaitsTarget(common::Fingerprint flow, PartitionIndex partition,
                     std::chrono::milliseconds now) const;
 
-  /// Whether no SYN of a flow that has no record was forwarded, by this
-  /// instance or by one before it.
-  bool IsSurelyNew(common::Fingerprint flow, PartitionIndex partition,
-                   std::chrono::milliseconds now) const;
+  /// Whether it is certain that no SYN of a flow without a record was
+  /// forwarded, neither by this instance nor by an earlier owner.
+  bool IsCertainlyNew(common::Fingerprint flow, PartitionIndex partition,
+                      std::chrono::milliseconds now) const;
 
   void EraseCopy(common::Fingerprint flow, PartitionIndex partition);
 
-  /// Where an established flow that nobody remembers is presumed to be.
+  /// Where an established flow without any record is presumed to be.
   TargetSlot FallbackOf(PartitionIndex partition) const {
     return this->fallbacks.Of(partition);
   }
 
-  /// How reluctant placement should be to make exceptions: 1 or more.
-  double Reluctance(std::chrono::milliseconds now);
+  /// Factor of at least 1 on the deviation threshold: the less copy budget is
+  /// left, the fewer exceptions placement should create.
+  double DeviationFactor(std::chrono::milliseconds now);
 
   std::size_t CopiesHeld() const {
     return this->store.Size() + this->unresolved.Size();
@@ -101,67 +106,69 @@
   bool IsHandingOver() const;
 
  private:
-  /// A flow that becomes worth a copy if it lives until then.
-  struct Pending {
+  /// A flow that is copied if it still exists at `due`.
+  struct PendingCopy {
     common::Fingerprint flow;
     common::ServiceId service;
     std::chrono::milliseconds due{0};
   };
 
   void Reconcile(std::chrono::milliseconds now, Outbox& outbox);
-  void ReconcileOne(PartitionIndex partition, std::chrono::milliseconds now,
-                    Outbox& outbox);
-  void Take(PartitionIndex partition, std::chrono::milliseconds now,
-            Outbox& outbox);
-  /// Takes and confirms the hand-overs that ended before this instance knew
-  /// that it owns the partition.
-  void AbsorbHandOvers(PartitionIndex partition, std::chrono::milliseconds now,
+  void ReconcilePartition(PartitionIndex partition,
+                          std::chrono::milliseconds now, Outbox& outbox);
+  void TakeOwnership(PartitionIndex partition, std::chrono::milliseconds now,
+                     Outbox& outbox);
+  /// Imports and acknowledges the hand-overs that ended before this instance
+  /// learned that it owns the partition.
+  void ImportHandOvers(PartitionIndex partition, std::chrono::milliseconds now,
                        Outbox& outbox);
-  void GiveUp(PartitionIndex partition, Outbox& outbox);
+  void GiveUpOwnership(PartitionIndex partition, Outbox& outbox);
   void StartHandOver(PartitionIndex partition);
-  /// Whether copies are held here that the destination doesn't know of.
-  bool HoldsForeignWord(PartitionIndex partition,
-                        const CopyDestination& destination) const;
+  /// Whether copies are held here that the destination didn't send itself.
+  bool HoldsCopiesFromOthers(PartitionIndex partition,
+                             const CopyDestination& destination) const;
   void UpdateStandby(PartitionIndex partition);
   std::optional<CopyDestination> DestinationOf(common::InstanceId id) const;
-  common::InstanceId PreviousOf(PartitionIndex partition) const;
-  void AskFor(PartitionIndex partition, common::InstanceId previous,
-              std::chrono::milliseconds until);
-  void AskHealed(const std::vector<common::DomainId>& healed,
-                 std::chrono::milliseconds now);
+  common::InstanceId PredecessorOf(PartitionIndex partition) const;
+  void StartInquiry(PartitionIndex partition, common::InstanceId previous,
+                    std::chrono::milliseconds until);
+  void InquireInHealedDomains(const std::vector<common::DomainId>& healed,
+                              std::chrono::milliseconds now);
 
-  void Absorb(PartitionIndex partition, const CopySet& set,
-              std::chrono::milliseconds now);
-  void AbsorbAll(PartitionIndex partition, std::chrono::milliseconds now);
-  void AbsorbFlow(PartitionIndex partition, const FlowException& exception,
+  void ImportSet(PartitionIndex partition, const CopySet& set,
+                 std::chrono::milliseconds now);
+  void ImportAllSets(PartitionIndex partition, std::chrono::milliseconds now);
+  void ImportFlow(PartitionIndex partition, const FlowException& exception,
                   std::chrono::milliseconds now);
-  /// Makes records of the flows whose targets the configuration names now.
-  void AbsorbResolved(PartitionIndex partition, std::chrono::milliseconds now);
-  /// The target that a copy names for the flow, known here or not.
+  /// Creates records for unresolved flows whose targets the configuration now
+  /// contains.
+  void ImportResolved(PartitionIndex partition, std::chrono::milliseconds now);
+  /// The target that a copy names for the flow, whether or not the
+  /// configuration contains it.
   std::optional<common::TargetId> NamedTarget(common::Fingerprint flow,
                                               PartitionIndex partition) const;
   void SettleFallback(PartitionIndex partition, std::chrono::milliseconds now);
-  void FlipFallbacks(std::chrono::milliseconds now, Outbox& outbox);
-
-  void QueueDue(std::chrono::milliseconds now);
-  /// The fallback that this instance can vouch for towards a new owner; 0 when
-  /// it knows none.
-  common::TargetId ClaimFor(PartitionIndex partition,
-                            const CopyDestination& destination) const;
-  void StartDeferred(std::chrono::milliseconds now);
+  void MoveFallbacks(std::chrono::milliseconds now, Outbox& outbox);
+
+  void QueueDueCopies(std::chrono::milliseconds now);
+  /// The fallback to announce to a new owner: this instance's own or that of
+  /// the newest copies; 0 if it knows none.
+  common::TargetId FallbackToAnnounce(PartitionIndex partition,
+                                      const CopyDestination& destination) const;
+  void StartDeferredHandOvers(std::chrono::milliseconds now);
   void DropOldCopies(std::chrono::milliseconds now);
-  void Note(PartitionIndex partition, PartitionEvent event,
-            common::InstanceId other, Outbox& outbox) const;
+  void RecordDecision(PartitionIndex partition, PartitionEvent event,
+                      common::InstanceId other, Outbox& outbox) const;
 
   common::InstanceId self;
-  FlowWorld& world;
+  LocalState& local;
   CopySender sender;
   CopyStore store;
   UnresolvedFlows unresolved;
   Fallbacks fallbacks;
   CopyGatherer gatherer;
   OwnerInquiry inquiry;
-  std::deque<Pending> pending;
+  std::deque<PendingCopy> pending_copies;
   std::chrono::milliseconds cleaned_at{0};
 };
 
--- a/source/core/exchange/fallbacks.h
+++ b/source/core/exchange/fallbacks.h
@@ -1,46 +1,47 @@
-/// Where flows without a record are presumed to be.
+/// The fallback target of each partition: where flows without a record are
+/// presumed to be.
 #pragma once
 
 #include <chrono>
 
 #include "common/ids.h"
 #include "core/exchange/copy_store.h"
-#include "core/flow/flow_world.h"
+#include "core/flow/local_state.h"
 
 namespace sassafrasdyke::core {
 
-/// Keeps the fallback of each partition: a contract between owner and standby
-/// that outlives changes of the targets, and moves only when no flow that
-/// relies on it can be left behind.
+/// Maintains the fallback of each partition. Owner and standby must agree on
+/// it, so it stays when targets change, and moves only when no flow that relies
+/// on it can lose its target.
 class Fallbacks {
  public:
-  /// Both must outlive it.
-  Fallbacks(FlowWorld& world, const CopyStore& store);
+  /// Both arguments must outlive it.
+  Fallbacks(LocalState& local, const CopyStore& store);
 
-  /// Takes the word of an instance that decided before. A target that isn't
-  /// known yet is remembered until a configuration names it.
+  /// Adopts the fallback of an earlier owner. A target that the configuration
+  /// doesn't contain yet is kept as unresolved until one does.
   void Adopt(PartitionIndex partition, common::TargetId fallback);
 
-  /// The fallback that others may be told; 0 while it is only a guess.
-  common::TargetId IdOf(PartitionIndex partition) const;
+  /// The fallback to announce to other instances; 0 while it is provisional.
+  common::TargetId AnnouncedId(PartitionIndex partition) const;
 
-  /// The fallback by this instance's own knowledge or by its copies of the
-  /// owner's; `kNoSlot` when it knows none.
+  /// The fallback from this instance's own state or from the copies that the
+  /// owner sent; `kNoSlot` if neither has one.
   TargetSlot Of(PartitionIndex partition) const;
 
-  /// Whether the flow is found by the fallback, without being named.
-  bool Finds(const FlowRecord& record, PartitionIndex partition) const;
+  /// Whether the flow is at the fallback, so that it needs no copy.
+  bool IsAtFallback(const FlowRecord& record, PartitionIndex partition) const;
 
-  /// Looks at the partition again after a change of the targets. Returns
-  /// whether another target became the fallback since the last is gone.
+  /// Re-evaluates the partition after a change of the targets. Returns whether
+  /// the fallback was replaced because its target is gone.
   bool Refresh(PartitionIndex partition);
 
-  /// Moves the fallback to the target that has most of the known flows, when
-  /// naming the rest costs far less. Returns whether it moved.
-  bool Flip(PartitionIndex partition, std::chrono::milliseconds now);
+  /// Moves the fallback to the target with the most known flows, if that saves
+  /// many copies. Returns whether it moved.
+  bool MoveToLargest(PartitionIndex partition, std::chrono::milliseconds now);
 
  private:
-  FlowWorld& world;
+  LocalState& local;
   const CopyStore& store;
 };
 
--- a/source/core/exchange/unresolved_flows.h
+++ b/source/core/exchange/unresolved_flows.h
@@ -1,5 +1,5 @@
-/// Flows that a hand-over named at targets which this instance's configuration
-/// doesn't name yet.
+/// Flows from a hand-over whose targets aren't in this instance's configuration
+/// yet.
 #pragma once
 
 #include <chrono>
@@ -15,9 +15,9 @@
 
 namespace sassafrasdyke::core {
 
-/// Keeps such flows until a configuration names their targets. They are kept
-/// apart from the sender's copy set: once its hand-over is confirmed, the
-/// sender forgets them, and its next set would remove them here. Times are
+/// Keeps such flows until a configuration contains their targets. They are kept
+/// apart from the sender's copy set: once the hand-over is acknowledged, the
+/// sender drops them, and its next set would remove them here. Times are
 /// monotonic.
 class UnresolvedFlows {
  public:
@@ -27,19 +27,20 @@
   std::optional<common::TargetId> Find(const PartitionKey& partition,
                                        common::Fingerprint flow) const;
 
-  /// All flows kept of a partition.
+  /// All flows of a partition.
   std::vector<FlowException> Of(const PartitionKey& partition) const;
 
-  /// Takes the flows of a partition whose targets `is_known` accepts.
+  /// Removes and returns the flows of a partition whose targets `is_known`
+  /// accepts.
   std::vector<FlowException> TakeKnown(
       const PartitionKey& partition,
       const std::function<bool(common::TargetId)>& is_known);
 
   void Erase(const PartitionKey& partition, common::Fingerprint flow);
   void ErasePartition(const PartitionKey& partition);
-  /// Forgets every flow at a target that is no more.
+  /// Removes every flow at a target that no longer exists.
   void EraseTarget(common::TargetId target);
-  /// Forgets flows that were added before `since`.
+  /// Removes flows that were added before `since`.
   void EraseOlder(std::chrono::milliseconds since);
 
   std::size_t Size() const;
--- a/source/core/flow/expiry_wheel.h
+++ b/source/core/flow/expiry_wheel.h
@@ -1,4 +1,4 @@
-/// Says which flows to look at for expiry, a bounded number a call.
+/// A timing wheel that yields the flows to check for expiry.
 #pragma once
 
 #include <array>
@@ -12,30 +12,30 @@
 
 namespace sassafrasdyke::core {
 
-/// A flow that is due for a look.
+/// A flow that is due for an expiry check.
 struct DueFlow {
   common::Fingerprint flow;
-  std::uint32_t due{0};  ///< The second it was scheduled for.
+  std::uint32_t due{0};  ///< Second of the monotonic clock.
 };
 
-/// A wheel of seconds. An entry further away than the wheel is long comes up
-/// early and is scheduled again, so that a long idle time costs no more memory
-/// than a short one.
+/// A timing wheel with one slot per second. An entry further away than the
+/// wheel is long comes up early and is scheduled again, so that a long idle
+/// time costs no more memory than a short one.
 class ExpiryWheel {
  public:
-  /// Schedules a look at `flow` once `at` has passed; returns the second under
+  /// Schedules a check of `flow` once `at` has passed; returns the second for
   /// which it is scheduled.
   std::uint32_t Schedule(common::Fingerprint flow,
                          std::chrono::milliseconds at);
 
-  /// Takes the next flow that is due at `now`; nothing when none is.
+  /// Removes and returns the next flow that is due at `now`, if there is one.
   std::optional<DueFlow> Next(std::chrono::milliseconds now);
 
  private:
   static constexpr std::uint32_t kSeconds = 256;
 
   std::array<std::deque<DueFlow>, kSeconds> slots;
-  /// The second whose slot is emptied next.
+  /// The second whose slot is being emptied.
   std::uint32_t current{0};
 };
 
--- a/source/core/flow/flow_record.h
+++ b/source/core/flow/flow_record.h
@@ -1,4 +1,4 @@
-/// What an instance remembers of one flow.
+/// The record that an instance keeps of one flow.
 #pragma once
 
 #include <chrono>
@@ -9,10 +9,10 @@
 
 namespace sassafrasdyke::core {
 
-/// How far a flow has come, as its caller's packets tell.
+/// The state of a flow, as seen from its caller's packets alone.
 enum class FlowState : std::uint8_t {
   kSyn,          ///< Only SYNs were seen.
-  kEstablished,  ///< The caller has answered its target.
+  kEstablished,  ///< The caller has acknowledged its target's SYN-ACK.
   kClosing,      ///< The caller has sent FIN or RST.
 };
 
@@ -30,32 +30,34 @@
   static constexpr std::int64_t kMilliseconds = 100;
 };
 
-/// One flow. Kept small: an instance holds hundreds of thousands.
+/// The record of one flow. Kept small: an instance holds hundreds of thousands.
 struct FlowRecord {
   common::ServiceId service;
   TargetSlot target;
   Tick last_seen;
-  /// Second at which the expiry wheel looks at it; older wheel entries of the
-  /// same flow are void.
+  /// Second for which the expiry wheel has scheduled the next check; other
+  /// wheel entries of the same flow are stale and ignored.
   std::uint32_t due{0};
   /// Sequence number of the caller's last segment.
   std::uint32_t sequence{0};
   /// When `sequence` was first seen.
   Tick sequence_since;
-  /// Counts ownerships of the partition; a record of an earlier one is void.
-  std::uint16_t tenure{0};
-  /// Gap before the last repeat of `sequence`, in ticks.
+  /// The partition's ownership epoch; a record of an earlier one is void.
+  std::uint16_t epoch{0};
+  /// Time before the last retransmission of `sequence`, in ticks.
   std::uint16_t repeat_gap{0};
+  /// Retransmissions of `sequence`, each after a longer gap than the last.
   std::uint8_t repeats{0};
   FlowState state{FlowState::kSyn};
-  /// Any payload of the flow was forwarded: it can never be placed again.
+  /// Payload of the flow may have reached its target, so it must not be placed
+  /// again.
   bool payload_forwarded : 1 {false};
-  /// The standby was told of it.
+  /// The flow was queued for copying to the standby or a new owner.
   bool copied : 1 {false};
-  /// Known from another instance's word, which names targets by number: the
-  /// number may have meant another life of the target there.
+  /// Created from another instance's copy, which names targets by id. The id
+  /// may have denoted another target in that instance's configuration.
   bool from_copy : 1 {false};
-  /// Its unanswered SYN was counted against its target.
+  /// The flow's unanswered SYN was counted against its target.
   bool counted_unanswered : 1 {false};
 };
 
--- a/source/core/flow/flow_table.cc
+++ b/source/core/flow/flow_table.cc
@@ -3,10 +3,10 @@
 namespace sassafrasdyke::core {
 namespace {
 
-/// Part of the table that only established flows may fill: one in this many.
-/// New flows alone could otherwise fill it, and an established flow that comes
-/// over from another instance would find no room and lose its place.
-constexpr std::size_t kReservedPart = 16;
+/// One in this many entries is reserved for established flows. Otherwise new
+/// flows alone could fill the table, and an established flow that arrives from
+/// another instance would find no room and lose its target.
+constexpr std::size_t kReservedDivisor = 16;
 
 }  // namespace
 
@@ -28,8 +28,9 @@
 }
 
 bool FlowTable::HasRoom(Admission admission) const {
-  const std::size_t reserved =
-      admission == Admission::kNewFlow ? (this->capacity / kReservedPart) : 0;
+  const std::size_t reserved = admission == Admission::kNewFlow
+                                   ? (this->capacity / kReservedDivisor)
+                                   : 0;
   return this->records.size() + reserved < this->capacity;
 }
 
@@ -53,16 +54,16 @@
       flow, record.last_seen.Time() + limits.For(record.state));
 }
 
-void FlowTable::Expire(std::chrono::milliseconds now, std::size_t most,
+void FlowTable::Expire(std::chrono::milliseconds now, std::size_t max_checks,
                        const LimitsOf& limits_of, const Ended& ended) {
-  for (std::size_t looks = 0; looks < most; ++looks) {
+  for (std::size_t checks = 0; checks < max_checks; ++checks) {
     const std::optional<DueFlow> due = this->wheel.Next(now);
     if (!due) {
       return;
     }
     FlowRecord* const record = this->Find(due->flow);
     if (record == nullptr || record->due != due->due) {
-      continue;  // Ended, or scheduled again since.
+      continue;  // The flow has ended or was rescheduled.
     }
     const IdleLimits limits = limits_of(record->service);
     if (record->last_seen.Time() + limits.For(record->state) > now) {
--- a/source/core/flow/flow_table.h
+++ b/source/core/flow/flow_table.h
@@ -1,4 +1,4 @@
-/// The bounded table of the flows an instance knows.
+/// The bounded table of flow records.
 #pragma once
 
 #include <tsl/robin_map.h>
@@ -13,7 +13,7 @@
 
 namespace sassafrasdyke::core {
 
-/// Idle times after which a flow is forgotten.
+/// Idle times after which a record is erased, by the flow's state.
 struct IdleLimits {
   std::chrono::milliseconds syn{};
   std::chrono::milliseconds established{};
@@ -22,15 +22,15 @@
   std::chrono::milliseconds For(FlowState state) const;
 };
 
-/// Fingerprints are uniform already; hashing them again would only cost time.
+/// Identity hash: fingerprints are uniformly distributed already.
 struct FingerprintHash {
   std::size_t operator()(common::Fingerprint flow) const noexcept {
     return static_cast<std::size_t>(flow.value);
   }
 };
 
-/// Whom a record is wanted for: established flows are let into the last part of
-/// the table, new ones are not.
+/// The kind of flow to insert: only established flows may use the reserved part
+/// of the table.
 enum class Admission { kNewFlow, kEstablishedFlow };
 
 /// Flow records by fingerprint. Pointers into it are valid until the next call
@@ -42,28 +42,28 @@
   using LimitsOf = std::function<IdleLimits(common::ServiceId)>;
   using Ended = std::function<void(common::Fingerprint, const FlowRecord&)>;
 
-  /// Records it holds at most.
+  /// Sets the maximum number of records.
   void SetCapacity(std::size_t flows) { this->capacity = flows; }
 
   FlowRecord* Find(common::Fingerprint flow);
 
-  /// Whether a record of the kind could be inserted now.
+  /// Whether there is room for a new record of the kind.
   bool HasRoom(Admission admission) const;
 
-  /// Inserts `record` or replaces the flow's old one; nothing when the table is
-  /// full.
+  /// Inserts `record` or replaces the flow's old one; null if the table has no
+  /// room.
   FlowRecord* Insert(common::Fingerprint flow, const FlowRecord& record,
                      Admission admission, const IdleLimits& limits);
 
   void Erase(common::Fingerprint flow);
 
-  /// Schedules the next look at a flow whose state has changed.
+  /// Schedules the next expiry check of a flow whose state has changed.
   void Reschedule(common::Fingerprint flow, FlowRecord& record,
                   const IdleLimits& limits);
 
-  /// Looks at no more than `most` flows that are due and erases the idle ones,
-  /// each after a call of `ended`.
-  void Expire(std::chrono::milliseconds now, std::size_t most,
+  /// Checks at most `max_checks` flows that are due and erases the idle ones,
+  /// after calling `ended` for each.
+  void Expire(std::chrono::milliseconds now, std::size_t max_checks,
               const LimitsOf& limits_of, const Ended& ended);
 
   /// Calls `visit` for every record; it must not insert or erase.
--- a/source/core/flow/flow_world.cc
+++ b/source/core/flow/local_state.cc
@@ -1,11 +1,11 @@
-#include "core/flow/flow_world.h"
+#include "core/flow/local_state.h"
 
 #include <algorithm>
 #include <utility>
 
 namespace sassafrasdyke::core {
 
-std::vector<common::TargetId> FlowWorld::SetConfiguration(
+std::vector<common::TargetId> LocalState::SetConfiguration(
     std::shared_ptr<const Configuration> configuration,
     std::chrono::milliseconds now) {
   std::vector<common::TargetId> ended;
@@ -33,7 +33,7 @@
   return ended;
 }
 
-void FlowWorld::SetView(const FleetView& view) {
+void LocalState::SetView(const FleetView& view) {
   const bool moved = view.domain != this->view.domain || this->owners.Empty();
   this->view = view;
   if (moved) {
@@ -42,21 +42,21 @@
   this->RebuildOwners();
 }
 
-void FlowWorld::RebuildSubsets() {
+void LocalState::RebuildSubsets() {
   if (this->configuration != nullptr) {
     this->subsets = SubsetMap(*this->configuration, this->directory,
                               this->targets, this->view.domain);
   }
 }
 
-void FlowWorld::RebuildOwners() {
+void LocalState::RebuildOwners() {
   if (this->configuration != nullptr && !this->view.instances.empty()) {
     this->owners =
         OwnerMap(this->subsets, this->directory.PartitionCount(), this->view);
   }
 }
 
-void FlowWorld::MovePartitions(const ServiceDirectory& before) {
+void LocalState::MovePartitions(const ServiceDirectory& before) {
   std::vector<PartitionState> moved(this->directory.PartitionCount());
   for (std::uint32_t i = 0; i < this->partitions.size(); ++i) {
     const PartitionKey& key = before.KeyOf(PartitionIndex{i});
@@ -67,14 +67,14 @@
   this->partitions = std::move(moved);
 }
 
-bool FlowWorld::IsLive(const FlowRecord& record,
-                       PartitionIndex partition) const {
+bool LocalState::IsLive(const FlowRecord& record,
+                        PartitionIndex partition) const {
   return record.service == this->directory.KeyOf(partition).service &&
-         record.tenure == this->StateOf(partition).tenure;
+         record.epoch == this->StateOf(partition).epoch;
 }
 
-FlowRecord* FlowWorld::LiveRecord(common::Fingerprint flow,
-                                  PartitionIndex partition) {
+FlowRecord* LocalState::LiveRecord(common::Fingerprint flow,
+                                   PartitionIndex partition) {
   FlowRecord* const record = this->table.Find(flow);
   if (record == nullptr || this->IsLive(*record, partition)) {
     return record;
@@ -83,11 +83,11 @@
   return nullptr;
 }
 
-FlowRecord* FlowWorld::OpenFlow(common::Fingerprint flow,
-                                PartitionIndex partition, FlowRecord record,
-                                Admission admission) {
+FlowRecord* LocalState::OpenFlow(common::Fingerprint flow,
+                                 PartitionIndex partition, FlowRecord record,
+                                 Admission admission) {
   record.service = this->directory.KeyOf(partition).service;
-  record.tenure = this->StateOf(partition).tenure;
+  record.epoch = this->StateOf(partition).epoch;
   if (this->table.Find(flow) != nullptr) {
     this->EndFlow(flow);
   }
@@ -100,14 +100,15 @@
   return inserted;
 }
 
-void FlowWorld::EndFlow(common::Fingerprint flow) {
+void LocalState::EndFlow(common::Fingerprint flow) {
   if (const FlowRecord* const record = this->table.Find(flow)) {
-    this->CountOut(flow, *record);
+    this->RemoveFromCounts(flow, *record);
     this->table.Erase(flow);
   }
 }
 
-void FlowWorld::CountOut(common::Fingerprint flow, const FlowRecord& record) {
+void LocalState::RemoveFromCounts(common::Fingerprint flow,
+                                  const FlowRecord& record) {
   this->targets.FlowEnded(record.target);
   const auto partition = this->PartitionOf(flow, record.service);
   if (partition && this->IsLive(record, *partition)) {
@@ -115,33 +116,33 @@
   }
 }
 
-void FlowWorld::SetState(common::Fingerprint flow, FlowRecord& record,
-                         FlowState state) {
+void LocalState::SetState(common::Fingerprint flow, FlowRecord& record,
+                          FlowState state) {
   record.state = state;
   this->table.Reschedule(flow, record, this->LimitsOf(record.service));
 }
 
-void FlowWorld::Expire(std::chrono::milliseconds now, std::size_t most,
-                       const FlowTable::Ended& ended) {
+void LocalState::Expire(std::chrono::milliseconds now, std::size_t max_checks,
+                        const FlowTable::Ended& ended) {
   this->table.Expire(
-      now, most,
+      now, max_checks,
       [this](common::ServiceId service) { return this->LimitsOf(service); },
       [this, &ended](common::Fingerprint flow, const FlowRecord& record) {
         ended(flow, record);
-        this->CountOut(flow, record);
+        this->RemoveFromCounts(flow, record);
       });
 }
 
-IdleLimits FlowWorld::LimitsOf(common::ServiceId service) const {
+IdleLimits LocalState::LimitsOf(common::ServiceId service) const {
   const auto index = this->directory.Find(service);
   if (!index) {
-    return {};  // The service is no more, and neither are its flows.
+    return {};  // The service was removed: its flows expire next.
   }
   const ServicePolicy& policy = this->directory.At(*index).policy;
   return {policy.syn_idle, policy.established_idle, policy.closing_idle};
 }
 
-TargetSlot FlowWorld::DefaultTarget(PartitionIndex partition) const {
+TargetSlot LocalState::DefaultTarget(PartitionIndex partition) const {
   const PartitionSubset targets = this->subsets.At(partition);
   if (!targets.subset.empty()) {
     return targets.subset[0];
@@ -149,7 +150,7 @@
   return targets.spill.empty() ? kNoSlot : targets.spill[0];
 }
 
-std::optional<PartitionIndex> FlowWorld::PartitionOf(
+std::optional<PartitionIndex> LocalState::PartitionOf(
     common::Fingerprint flow, common::ServiceId service) const {
   const auto index = this->directory.Find(service);
   if (!index) {
--- a/source/core/flow/flow_world.h
+++ b/source/core/flow/local_state.h
@@ -1,5 +1,5 @@
-/// Everything the flow side knows, with the few steps that keep its parts
-/// consistent: the configuration's maps, the flows, and the partitions.
+/// The state of one balancer: the maps derived from the configuration and the
+/// fleet view, the flow table, and the partitions.
 #pragma once
 
 #include <chrono>
@@ -21,16 +21,17 @@
 
 namespace sassafrasdyke::core {
 
-/// Shared by the packet path and the exchange of copies; both run in one task.
-class FlowWorld {
+/// Holds this state and keeps its parts consistent. Shared by the packet path
+/// and the exchange of copies; both run in one task, so there is no locking.
+class LocalState {
  public:
-  /// Takes a newer configuration and rebuilds all maps. Returns the lives of
-  /// targets that ended with it.
+  /// Applies a newer configuration and rebuilds all maps. Returns the targets
+  /// that were removed or whose ids now denote another target.
   std::vector<common::TargetId> SetConfiguration(
       std::shared_ptr<const Configuration> configuration,
       std::chrono::milliseconds now);
 
-  /// Takes a view of the fleet and rebuilds the owners.
+  /// Applies a view of the fleet and rebuilds the owner map.
   void SetView(const FleetView& view);
 
   /// Whether there is both a configuration and a view.
@@ -40,31 +41,33 @@
 
   bool HasConfiguration() const { return this->configuration != nullptr; }
 
-  /// The flow's record if it counts: of this service, and of the partition's
-  /// present tenure. A void one is erased.
+  /// The flow's record if it is live, or null. Erases a void record.
   FlowRecord* LiveRecord(common::Fingerprint flow, PartitionIndex partition);
 
-  /// Whether a record counts.
+  /// Whether a record belongs to the partition's service and to its current
+  /// ownership epoch. Other records are void.
   bool IsLive(const FlowRecord& record, PartitionIndex partition) const;
 
-  /// Inserts a record and counts it; null when the table is full.
+  /// Inserts a record and updates the counts; null if the table has no room.
   FlowRecord* OpenFlow(common::Fingerprint flow, PartitionIndex partition,
                        FlowRecord record, Admission admission);
 
-  /// Erases a record and counts it out.
+  /// Erases a record and updates the counts.
   void EndFlow(common::Fingerprint flow);
 
-  /// Changes a record's state and the time it has left.
+  /// Changes a record's state and reschedules its expiry.
   void SetState(common::Fingerprint flow, FlowRecord& record, FlowState state);
 
-  /// Erases the idle among the flows that are due, no more than `most` looks.
-  void Expire(std::chrono::milliseconds now, std::size_t most,
+  /// Checks at most `max_checks` flows that are due and erases the idle ones,
+  /// after calling `ended` for each.
+  void Expire(std::chrono::milliseconds now, std::size_t max_checks,
               const FlowTable::Ended& ended);
 
-  /// The default target of a partition, for lack of better knowledge.
+  /// The target to presume for a partition by the configuration alone.
   TargetSlot DefaultTarget(PartitionIndex partition) const;
 
-  /// The partition of a flow of a service that is still published.
+  /// The partition of a flow; empty if the configuration doesn't contain the
+  /// service.
   std::optional<PartitionIndex> PartitionOf(common::Fingerprint flow,
                                             common::ServiceId service) const;
 
@@ -83,7 +86,9 @@
 
   bool HoldsLease() const { return this->owners.View().lease == Lease::kHeld; }
 
-  const Configuration& InForce() const { return *this->configuration; }
+  const Configuration& CurrentConfiguration() const {
+    return *this->configuration;
+  }
   const ServiceDirectory& Directory() const { return this->directory; }
   const SubsetMap& Subsets() const { return this->subsets; }
   const OwnerMap& Owners() const { return this->owners; }
@@ -97,7 +102,7 @@
  private:
   IdleLimits LimitsOf(common::ServiceId service) const;
   void MovePartitions(const ServiceDirectory& before);
-  void CountOut(common::Fingerprint flow, const FlowRecord& record);
+  void RemoveFromCounts(common::Fingerprint flow, const FlowRecord& record);
   void RebuildSubsets();
   void RebuildOwners();
 
--- a/source/core/flow/partition_state.cc
+++ b/source/core/flow/partition_state.cc
@@ -5,15 +5,15 @@
 namespace sassafrasdyke::core {
 
 std::chrono::milliseconds PartitionState::OpeningsKnownSince() const {
-  const bool inherited =
-      this->told && this->claim && this->claim->from == this->predecessor;
+  const bool inherited = this->predecessor_done && this->claim &&
+                         this->claim->from == this->predecessor;
   return inherited ? std::min(this->owned_since, this->claim->since)
                    : this->owned_since;
 }
 
-void PartitionState::Forget() {
-  ++this->tenure;
-  this->remembers = false;
+void PartitionState::VoidRecords() {
+  ++this->epoch;
+  this->keeps_records = false;
   this->counts.clear();
 }
 
--- a/source/core/flow/partition_state.h
+++ b/source/core/flow/partition_state.h
@@ -1,4 +1,4 @@
-/// What an instance remembers of one partition.
+/// The state that an instance keeps of one partition.
 #pragma once
 
 #include <chrono>
@@ -8,90 +8,101 @@
 #include <vector>
 
 #include "common/ids.h"
-#include "core/flow/owner_trail.h"
+#include "core/flow/recent_owners.h"
 #include "core/placement/target_slot.h"
 
 namespace sassafrasdyke::core {
 
-/// The known flows of one partition at one target.
+/// The number of known flows of one partition at one target.
 struct TargetCount {
   TargetSlot slot;
   std::uint32_t flows{0};
 };
 
-/// A former owner's word that it knew of every SYN of a partition.
+/// A former owner's statement that it tracked every SYN of a partition.
 struct OpeningsClaim {
   common::InstanceId from;
-  std::chrono::milliseconds since{0};  ///< By this instance's clock.
+  std::chrono::milliseconds since{0};  ///< By this instance's monotonic clock.
 };
 
 /// One partition as this instance sees it.
 struct PartitionState {
   /// This instance is the owner.
   bool owned{false};
-  /// The owner as last seen, and which life of it; 0 before the first view.
+  /// The owner in the last view and its incarnation; 0 before the first view.
   common::InstanceId seen_owner;
   common::Incarnation seen_incarnation;
-  /// The owners before that one.
-  OwnerTrail trail;
-  /// This instance was the owner and its flow records still count: they are
-  /// being handed over, or wait until the new owner has copied them back.
-  bool remembers{false};
-  /// To whom this instance gave the partition up; 0 once it owns it again.
+  /// Earlier owners.
+  RecentOwners recent_owners;
+  /// This instance was the owner and its flow records are still live: they are
+  /// being handed over, or are kept until the new owner has copied them back.
+  bool keeps_records{false};
+  /// The instance to which this one gave the partition up; 0 once it owns the
+  /// partition again.
   common::InstanceId given_up_to;
-  /// The new owner has confirmed that it knows everything.
+  /// The new owner has acknowledged the end of the hand-over.
   bool handed_over{false};
-  /// It has placed flows in the owner's stead that the owner hasn't confirmed.
-  bool stood_in{false};
-  /// Records of an earlier tenure are void.
-  std::uint16_t tenure{0};
+  /// This instance has placed flows on behalf of the owner that the owner
+  /// hasn't acknowledged.
+  bool placed_for_owner{false};
+  /// The ownership epoch; records of an earlier one are void.
+  std::uint16_t epoch{0};
   std::chrono::milliseconds owned_since{0};
-  /// The owner before this instance, in its own view when it took the
-  /// partition.
+  /// The owner before this instance, in this instance's view when it took the
+  /// partition over.
   common::InstanceId predecessor;
-  /// The predecessor's hand-over has ended, and every flow of it has a record.
-  bool told{false};
-  /// What a former owner says of the SYNs that it knows.
+  /// The predecessor's hand-over is complete, and no flow of it was left
+  /// without a record for lack of room.
+  bool predecessor_done{false};
+  /// The statement of a former owner, if one was received.
   std::optional<OpeningsClaim> claim;
-  /// Since when this instance knew of every SYN, when it gave the partition up;
-  /// nothing once that may be with another owner than the present one.
+  /// Since when this instance had tracked every SYN when it gave the partition
+  /// up; empty once another than the current owner may have placed flows.
   std::optional<std::chrono::milliseconds> openings_known_since;
-  /// The instance to ask about unknown flows, until `ask_until`; 0 for none.
+  /// The instance to ask about unknown flows until `ask_until`; 0 for none.
   common::InstanceId previous;
   std::chrono::milliseconds ask_until{0};
-  /// Until then another instance may still believe that it is the owner.
+  /// Until then another instance may still consider itself the owner.
   std::chrono::milliseconds contested_until{0};
-  /// Until then nothing is guessed about unknown flows: this instance took the
-  /// partition back, and whoever decided in between may still have to tell.
-  std::chrono::milliseconds unsure_until{0};
-  /// When this instance last told an owner that it has nothing.
-  std::chrono::milliseconds denied_at{-1};
+  /// Until then unknown flows aren't sent to the fallback: this instance took
+  /// the partition back, and the owner in between may still have flows to hand
+  /// over.
+  std::chrono::milliseconds no_fallback_until{0};
+  /// When this instance last told an owner that it has no flows; -1 for never.
+  std::chrono::milliseconds negative_answer_at{-1};
   /// Where established flows without a record are presumed to be.
   TargetSlot fallback{kNoSlot};
-  /// The fallback is only what the configuration suggests; the word of an
-  /// instance that knows better replaces it.
-  bool fallback_guessed{true};
-  /// The fallback's published number while it can't be resolved: the sender's
-  /// configuration is newer. 0 when there is none.
-  common::TargetId unresolved;
-  /// Known flows by target.
+  /// The fallback is derived from the configuration alone; one received from an
+  /// earlier owner replaces it.
+  bool fallback_provisional{true};
+  /// The id of a received fallback that this instance's configuration doesn't
+  /// contain, since the sender's is newer; 0 for none.
+  common::TargetId unresolved_fallback;
+  /// The number of known flows by target.
   std::vector<TargetCount> counts;
 
-  /// The former owner decides about the flows it has records of.
-  bool IsHandingOver() const { return this->remembers && !this->handed_over; }
-  /// There are flows here that the owner may not know of: of a tenure that is
-  /// being handed over, or placed in the owner's stead.
-  bool KnowsFlows() const { return this->IsHandingOver() || this->stood_in; }
+  /// Whether this instance, as the former owner, still decides about the flows
+  /// that it has records of.
+  bool IsHandingOver() const {
+    return this->keeps_records && !this->handed_over;
+  }
+  /// Whether there are flows here that the owner may not know: they are being
+  /// handed over or were placed on its behalf.
+  bool HoldsUnconfirmedFlows() const {
+    return this->IsHandingOver() || this->placed_for_owner;
+  }
 
-  /// Since when this instance, or the one that handed over to it, has known of
+  /// Since when this instance, or the one that handed over to it, has tracked
   /// every SYN of the partition.
   std::chrono::milliseconds OpeningsKnownSince() const;
 
   /// Voids all records of the partition.
-  void Forget();
+  void VoidRecords();
 
+  /// Adds `change` to the number of flows at a target.
   void Count(TargetSlot slot, int change);
   std::uint32_t FlowsAt(TargetSlot slot) const;
+  /// The number of known flows that aren't at the fallback.
   std::size_t Exceptions() const;
 };
 
--- a/source/core/flow/owner_trail.cc
+++ b/source/core/flow/recent_owners.cc
@@ -1,27 +1,27 @@
-#include "core/flow/owner_trail.h"
+#include "core/flow/recent_owners.h"
 
 #include <algorithm>
 
 namespace sassafrasdyke::core {
 namespace {
 
-/// Owners remembered of a partition: a rolling restart moves it no more
-/// often while views differ.
-constexpr std::size_t kMost = 3;
+/// Owners kept per partition: a rolling restart moves a partition no more often
+/// than this while views differ.
+constexpr std::size_t kMaxOwners = 3;
 
 }  // namespace
 
-void OwnerTrail::Add(common::InstanceId owner,
-                     std::chrono::milliseconds until) {
+void RecentOwners::Add(common::InstanceId owner,
+                       std::chrono::milliseconds until) {
   std::erase_if(this->entries,
                 [owner](const Entry& entry) { return entry.id == owner; });
-  if (this->entries.size() >= kMost) {
+  if (this->entries.size() >= kMaxOwners) {
     this->entries.pop_back();
   }
   this->entries.insert(this->entries.begin(), {owner, until});
 }
 
-std::optional<common::InstanceId> OwnerTrail::Newest(
+std::optional<common::InstanceId> RecentOwners::Newest(
     std::chrono::milliseconds now,
     const std::function<bool(common::InstanceId)>& accepts) const {
   const auto found = std::find_if(
--- a/source/core/flow/owner_trail.h
+++ b/source/core/flow/recent_owners.h
@@ -1,5 +1,5 @@
-/// The owners that a partition has lately had, as one instance saw them, and
-/// instances that lately took themselves for its owner.
+/// The recent owners of a partition, as one instance saw them, and instances
+/// that recently considered themselves its owner.
 #pragma once
 
 #include <chrono>
@@ -12,16 +12,17 @@
 
 namespace sassafrasdyke::core {
 
-/// While views differ, a former owner may still decide, and another instance
-/// may know of an owner that this one never saw. Bounded in number. Times are
+/// A bounded list. While views differ, a former owner may still place flows,
+/// and another instance may know of an owner that this one never saw. Times are
 /// monotonic.
-class OwnerTrail {
+class RecentOwners {
  public:
-  /// `owner` may go on deciding until `until`, though another is the owner in
-  /// this instance's view.
+  /// Adds `owner`, which may place flows until `until` although another
+  /// instance is the owner in this instance's view. Drops the oldest if the
+  /// list is full.
   void Add(common::InstanceId owner, std::chrono::milliseconds until);
 
-  /// The newest that may still decide and that `accepts` lets pass.
+  /// The newest owner that may still place flows and that `accepts` admits.
   std::optional<common::InstanceId> Newest(
       std::chrono::milliseconds now,
       const std::function<bool(common::InstanceId)>& accepts) const;
--- a/source/core/flow/silence.cc
+++ b/source/core/flow/silence.cc
@@ -6,12 +6,12 @@
 namespace sassafrasdyke::core {
 namespace {
 
-/// A keep-alive or window probe carries at most this much, and repeats its
-/// sequence number on a flow in perfect order.
-constexpr std::uint32_t kProbeBytes = 1;
-/// Two copies of a segment closer than this come from the network, not from a
-/// timeout.
-constexpr std::uint32_t kLeastGapTicks = 2;
+/// Payload of a keep-alive or zero-window probe at most. These repeat their
+/// sequence number on a healthy flow.
+constexpr std::uint32_t kMaxProbeBytes = 1;
+/// Two copies of a segment closer than this were duplicated by the network, not
+/// retransmitted after a timeout.
+constexpr std::uint32_t kMinGapTicks = 2;
 
 void StartSequence(const PacketArrived& packet, std::chrono::milliseconds now,
                    FlowRecord& record) {
@@ -23,10 +23,10 @@
 
 }  // namespace
 
-void NoteSequence(const PacketArrived& packet, std::chrono::milliseconds now,
-                  FlowRecord& record) {
-  const bool is_repeat =
-      packet.sequence == record.sequence && packet.payload_bytes > kProbeBytes;
+void TrackSequence(const PacketArrived& packet, std::chrono::milliseconds now,
+                   FlowRecord& record) {
+  const bool is_repeat = packet.sequence == record.sequence &&
+                         packet.payload_bytes > kMaxProbeBytes;
   if (!is_repeat) {
     StartSequence(packet, now, record);
     return;
@@ -34,11 +34,11 @@
   const std::uint32_t gap =
       Tick::From(now).value -
       std::max(record.last_seen.value, record.sequence_since.value);
-  if (gap < kLeastGapTicks) {
+  if (gap < kMinGapTicks) {
     return;
   }
-  // A timeout backs off: each gap is longer than the one before. An application
-  // that repeats itself at a steady pace is no sign of a dead path.
+  // The retransmission timeout backs off: each gap is longer than the one
+  // before. Repeats at a steady pace are no sign of a dead path.
   if (record.repeats > 0 && gap <= record.repeat_gap) {
     return;
   }
@@ -50,8 +50,8 @@
 
 bool IsSilent(const FlowRecord& record, std::uint32_t silent_repeats,
               std::chrono::milliseconds answered_at) {
-  // Without proof that the target answers others, the fault may be the whole
-  // target's; a RST would only make all its callers reconnect at once.
+  // Unless the target has answered a new flow since, the whole target may be at
+  // fault; a RST would only make all its callers reconnect at once.
   return record.state != FlowState::kSyn && record.repeats >= silent_repeats &&
          answered_at > record.sequence_since.Time();
 }
--- a/source/core/flow/silence.h
+++ b/source/core/flow/silence.h
@@ -1,4 +1,4 @@
-/// Finds flows whose path is dead while their target serves others.
+/// Detects flows whose path is dead while their target serves others.
 #pragma once
 
 #include <chrono>
@@ -9,14 +9,15 @@
 
 namespace sassafrasdyke::core {
 
-/// Notes the packet's sequence number in the record. To be called once for each
-/// packet, before `last_seen` is moved on.
-void NoteSequence(const PacketArrived& packet, std::chrono::milliseconds now,
-                  FlowRecord& record);
+/// Updates the record with the packet's sequence number. Must be called once
+/// for each packet, before `last_seen` is updated.
+void TrackSequence(const PacketArrived& packet, std::chrono::milliseconds now,
+                   FlowRecord& record);
 
-/// Whether the caller has sent one segment again and again, each time after a
-/// longer wait, while a new flow was answered by the same target. `answered_at`
-/// is when the target last answered a new flow; negative for never.
+/// Whether the caller has retransmitted one segment at least `silent_repeats`
+/// times, each time after a longer gap, while the same target answered a new
+/// flow. `answered_at` is when the target last answered a new flow; negative
+/// for never.
 bool IsSilent(const FlowRecord& record, std::uint32_t silent_repeats,
               std::chrono::milliseconds answered_at);
 
--- a/source/core/flow_balancer.cc
+++ b/source/core/flow_balancer.cc
@@ -10,21 +10,21 @@
 namespace sassafrasdyke::core {
 namespace {
 
-/// Flows looked at for expiry in one tick.
-constexpr std::size_t kExpiryBatch = 5000;
-/// Two SYNs closer than this are copies made by the network, not a sign that
-/// the first one found no answer.
-constexpr std::chrono::milliseconds kLeastSynGap{500};
+/// Flows checked for expiry in one tick at most.
+constexpr std::size_t kMaxExpiryChecks = 5000;
+/// Two SYNs closer than this were duplicated by the network, not retransmitted
+/// for lack of an answer.
+constexpr std::chrono::milliseconds kMinSynGap{500};
 
 bool IsNewSyn(const PacketArrived& packet) {
   return packet.flags.syn && !packet.flags.ack;
 }
 
-bool Ends(const PacketArrived& packet) {
+bool ClosesFlow(const PacketArrived& packet) {
   return packet.flags.fin || packet.flags.rst;
 }
 
-/// Whether `from` handed the packet on.
+/// Whether `from` redirected the packet to this instance.
 bool CameFrom(const PacketArrived& packet, common::InstanceId from) {
   return packet.arrival.hops > 0 && packet.arrival.from == from;
 }
@@ -38,29 +38,29 @@
 
 FlowBalancer::FlowBalancer(common::InstanceId self,
                            common::Incarnation incarnation)
-    : self(self), exchange(self, incarnation, this->world) {}
+    : self(self), exchange(self, incarnation, this->local) {}
 
 PacketAction FlowBalancer::OnPacket(const PacketArrived& packet,
                                     std::chrono::milliseconds now,
                                     Outbox& outbox) {
-  if (!this->world.IsReady()) {
+  if (!this->local.IsReady()) {
     return DropPacket{DropReason::kStale};
   }
-  const ServiceDirectory& directory = this->world.Directory();
+  const ServiceDirectory& directory = this->local.Directory();
   const std::optional<ServiceIndex> service =
       directory.Find(packet.flow.service);
   if (!service) {
     return DropPacket{DropReason::kUnknownService};
   }
-  const common::Fingerprint flow =
-      common::FingerprintOf(packet.flow, this->world.InForce().hash_seed);
+  const common::Fingerprint flow = common::FingerprintOf(
+      packet.flow, this->local.CurrentConfiguration().hash_seed);
   return this->Route({packet, flow, *service,
                       directory.PartitionOf(*service, flow), now, outbox});
 }
 
 PacketAction FlowBalancer::Route(const Context& context) {
   const PacketArrived& packet = context.packet;
-  const PartitionOwners& owners = this->world.Owners().At(context.partition);
+  const PartitionOwners& owners = this->local.Owners().At(context.partition);
   if (packet.arrival.hops > 0 &&
       packet.arrival.purpose == HopPurpose::kAskPrevious) {
     this->exchange.Inquiry().OnAsked(context.partition, packet.arrival.asker,
@@ -73,24 +73,25 @@
       packet.arrival.purpose == HopPurpose::kAskPrevious) {
     return this->AnswerNewOwner(context);
   }
-  const PartitionState& state = this->world.StateOf(context.partition);
-  if (state.KnowsFlows()) {
-    // The new owner would ask this instance anyway.
+  const PartitionState& state = this->local.StateOf(context.partition);
+  if (state.HoldsUnconfirmedFlows()) {
+    // The new owner would ask this instance about its flows anyway.
     FlowRecord* const record =
-        this->world.LiveRecord(context.flow, context.partition);
+        this->local.LiveRecord(context.flow, context.partition);
     if (record != nullptr &&
         !(IsNewSyn(packet) && record->state == FlowState::kClosing)) {
       return this->HandleKnown(context, *record);
     }
   }
-  // The instance that this one takes for the owner says that this one is: it
-  // knows best that it gave up. It must have been the owner, though: two
-  // instances with different old views would else each decide for the other.
-  const bool told =
+  // The owner in this instance's view redirected the packet here, so it has
+  // given the partition up. It must have been the owner, as its copies prove:
+  // otherwise two instances with different outdated views would each decide for
+  // the other.
+  const bool gave_up =
       CameFrom(packet, owners.owner) && state.given_up_to != owners.owner &&
-      !this->world.Owners().View().leaving &&
+      !this->local.Owners().View().leaving &&
       this->exchange.HoldsCopiesOf(owners.owner, context.partition);
-  if (told) {
+  if (gave_up) {
     return this->DecideAsOwner(context);
   }
   return this->Redirect(context, owners.owner, DropReason::kUnreachable);
@@ -99,7 +100,7 @@
 PacketAction FlowBalancer::Redirect(
     const Context& context, common::InstanceId to, DropReason otherwise,
     std::optional<common::InstanceId> asker) const {
-  const InstanceView* const instance = this->world.Owners().Find(to);
+  const InstanceView* const instance = this->local.Owners().Find(to);
   if (instance == nullptr) {
     return DropPacket{otherwise};
   }
@@ -128,7 +129,7 @@
 
 PacketAction FlowBalancer::DecideAsOwner(const Context& context) {
   FlowRecord* const record =
-      this->world.LiveRecord(context.flow, context.partition);
+      this->local.LiveRecord(context.flow, context.partition);
   if (record != nullptr) {
     return this->HandleKnown(context, *record);
   }
@@ -136,12 +137,12 @@
 }
 
 PacketAction FlowBalancer::AnswerNewOwner(const Context& context) {
-  const PartitionState& state = this->world.StateOf(context.partition);
+  const PartitionState& state = this->local.StateOf(context.partition);
   const common::InstanceId asker = context.packet.arrival.asker;
   const bool is_syn = IsNewSyn(context.packet);
-  if (state.KnowsFlows()) {
+  if (state.HoldsUnconfirmedFlows()) {
     FlowRecord* const record =
-        this->world.LiveRecord(context.flow, context.partition);
+        this->local.LiveRecord(context.flow, context.partition);
     if (record != nullptr &&
         !(is_syn && record->state == FlowState::kClosing)) {
       return this->HandleKnown(context, *record);
@@ -154,12 +155,12 @@
   if (const auto asked = this->Ask(context, asker)) {
     return *asked;
   }
-  if (state.IsHandingOver() && !is_syn && !state.fallback_guessed &&
+  if (state.IsHandingOver() && !is_syn && !state.fallback_provisional &&
       state.fallback != kNoSlot &&
-      !this->world.Targets().At(state.fallback).gone) {
+      !this->local.Targets().At(state.fallback).gone) {
     return this->Forward(state.fallback, PlacementReason::kAskedPrevious);
   }
-  this->exchange.OnAskedInVain(context.partition, asker, context.now);
+  this->exchange.OnUnansweredInquiry(context.partition, asker, context.now);
   return this->Redirect(context, asker, DropReason::kUnreachable);
 }
 
@@ -169,38 +170,38 @@
     return this->HandleKnownSyn(context, record);
   }
   const TargetSlot slot = record.target;
-  const TargetRecord& target = this->world.Targets().At(slot);
+  const TargetRecord& target = this->local.Targets().At(slot);
   if (target.gone && (record.state == FlowState::kSyn || record.from_copy)) {
-    // Not surely this flow's target: only a SYN was seen here, or another
-    // instance named it by a number that may have changed its meaning.
+    // The flow may have another target: only a SYN was seen here, or another
+    // instance named the target by an id that may denote another one now.
     this->EndFlow(context);
     return this->HandleUnknown(context);
   }
   if (target.gone) {
-    return this->EndAtGoneTarget(context);
+    return this->HandleGoneTarget(context);
   }
-  NoteSequence(context.packet, context.now, record);
+  TrackSequence(context.packet, context.now, record);
   const ServicePolicy& policy =
-      this->world.Directory().At(context.service).policy;
-  if (this->world.HoldsLease() &&
+      this->local.Directory().At(context.service).policy;
+  if (this->local.HoldsLease() &&
       IsSilent(record, policy.silent_repeats, target.answered_at)) {
     return this->EndWithReset(context, ResetReason::kSilentPath);
   }
-  this->NoteProgress(context, record);
+  this->UpdateRecord(context, record);
   return this->Forward(slot, PlacementReason::kRecord);
 }
 
-void FlowBalancer::NoteProgress(const Context& context, FlowRecord& record) {
+void FlowBalancer::UpdateRecord(const Context& context, FlowRecord& record) {
   const PacketArrived& packet = context.packet;
   record.last_seen = Tick::From(context.now);
   if (packet.payload_bytes > 0) {
     record.payload_forwarded = true;
   }
-  if (Ends(packet) && record.state != FlowState::kClosing) {
-    this->world.SetState(context.flow, record, FlowState::kClosing);
+  if (ClosesFlow(packet) && record.state != FlowState::kClosing) {
+    this->local.SetState(context.flow, record, FlowState::kClosing);
   } else if (packet.flags.ack && record.state == FlowState::kSyn) {
-    this->world.Targets().OnAnswered(record.target, context.now);
-    this->world.SetState(context.flow, record, FlowState::kEstablished);
+    this->local.Targets().OnAnswered(record.target, context.now);
+    this->local.SetState(context.flow, record, FlowState::kEstablished);
   }
 }
 
@@ -208,9 +209,9 @@
                                           FlowRecord& record) {
   const TargetSlot slot = record.target;
   const bool is_repeat = record.state == FlowState::kSyn;
-  if (this->world.Targets().At(slot).gone) {
+  if (this->local.Targets().At(slot).gone) {
     if (is_repeat && record.payload_forwarded) {
-      return this->EndAtGoneTarget(context);
+      return this->HandleGoneTarget(context);
     }
     this->EndFlow(context);
     return this->PlaceNew(
@@ -218,15 +219,15 @@
         is_repeat ? std::optional(PlacementReason::kReplaced) : std::nullopt);
   }
   if (record.state == FlowState::kClosing) {
-    // The caller uses the port again.
+    // The caller reuses the port.
     this->EndFlow(context);
     return this->PlaceNew(context, std::nullopt);
   }
-  const bool waited = context.now - record.last_seen.Time() >= kLeastSynGap;
+  const bool waited = context.now - record.last_seen.Time() >= kMinSynGap;
   if (is_repeat && waited && !record.counted_unanswered) {
     record.counted_unanswered = true;
-    this->world.Targets().OnUnanswered(
-        slot, this->world.Directory().At(context.service).policy, context.now);
+    this->local.Targets().OnUnanswered(
+        slot, this->local.Directory().At(context.service).policy, context.now);
   }
   record.last_seen = Tick::From(context.now);
   record.payload_forwarded =
@@ -234,14 +235,15 @@
   return this->Forward(slot, PlacementReason::kRecord);
 }
 
-PacketAction FlowBalancer::EndAtGoneTarget(const Context& context) {
-  // Without fresh word this instance can't know that the target is gone for
-  // good; a RST on a guess would end a flow that others still serve.
-  // The same goes for a cut: the other side may have placed the flow as well,
-  // and its caller may be talking to that target.
-  const PartitionState& state = this->world.StateOf(context.partition);
-  if (!this->world.HoldsLease() || state.previous.value != 0 ||
-      !this->world.Owners().View().unreachable.empty()) {
+PacketAction FlowBalancer::HandleGoneTarget(const Context& context) {
+  // Without a valid lease this instance can't know that the target is gone for
+  // good; a RST would end a flow that others still serve. The same holds while
+  // flows are still being handed over, and during a network partition: the
+  // other side may have placed the flow as well, and its caller may be
+  // connected to that target.
+  const PartitionState& state = this->local.StateOf(context.partition);
+  if (!this->local.HoldsLease() || state.previous.value != 0 ||
+      !this->local.Owners().View().unreachable.empty()) {
     return DropPacket{DropReason::kUnreachable};
   }
   return this->EndWithReset(context, ResetReason::kTargetGone);
@@ -250,7 +252,7 @@
 PacketAction FlowBalancer::EndWithReset(const Context& context,
                                         ResetReason reason) {
   this->EndFlow(context);
-  this->Note(context, FlowReset{reason});
+  this->RecordDecision(context, FlowReset{reason});
   return ResetCaller{reason};
 }
 
@@ -262,13 +264,13 @@
   }
   if (this->exchange.AwaitsTarget(context.flow, context.partition,
                                   context.now)) {
-    return DropPacket{DropReason::kUnreachable};  // The caller sends again.
+    return DropPacket{DropReason::kUnreachable};  // The caller retransmits.
   }
   const common::InstanceId asker = packet.arrival.asker;
   if (asker.value != 0 && asker != this->self &&
       this->exchange.Inquiry().Previous(context.partition, context.now) ==
           asker) {
-    // This instance learns from the asker, and would ask it about the flow.
+    // The asker is the previous owner, which this instance would ask in turn.
     return this->Redirect(context, asker, DropReason::kUnreachable);
   }
   if (asker != this->self) {
@@ -276,7 +278,7 @@
       return *asked;
     }
   }
-  if (this->world.Owners().View().lease == Lease::kStale) {
+  if (this->local.Owners().View().lease == Lease::kStale) {
     return this->HandleStale(context);
   }
   return IsNewSyn(packet) ? this->PlaceNew(context, std::nullopt)
@@ -284,10 +286,10 @@
 }
 
 PacketAction FlowBalancer::HandleStale(const Context& context) const {
-  // A process that was paused may no longer be the owner: what it placed now,
-  // nobody would find again. The standby knows whether it has taken over.
+  // A process that was paused may no longer be the owner, and no other instance
+  // would find a flow that it places. The standby knows whether it took over.
   const common::InstanceId standby =
-      this->world.Owners().At(context.partition).standby;
+      this->local.Owners().At(context.partition).standby;
   if (standby.value == 0 || CameFrom(context.packet, standby)) {
     return DropPacket{DropReason::kStale};
   }
@@ -298,34 +300,36 @@
   this->exchange.EraseCopy(context.flow, context.partition);
   FlowRecord record = this->MakeRecord(context, slot, FlowState::kEstablished);
   record.from_copy = true;
-  FlowRecord* const opened = this->world.OpenFlow(
+  FlowRecord* const opened = this->local.OpenFlow(
       context.flow, context.partition, record, Admission::kEstablishedFlow);
   if (opened == nullptr) {
     return this->Forward(slot, PlacementReason::kCopy);
   }
   this->exchange.OnOpened(context.flow, context.partition, *opened,
                           context.now);
-  this->NoteProgress(context, *opened);
-  this->Note(context, FlowRecovered{this->world.Targets().At(slot).target.id,
-                                    PlacementReason::kCopy});
+  this->UpdateRecord(context, *opened);
+  this->RecordDecision(context,
+                       FlowRecovered{this->local.Targets().At(slot).target.id,
+                                     PlacementReason::kCopy});
   return this->Forward(slot, PlacementReason::kCopy);
 }
 
 PacketAction FlowBalancer::Recover(const Context& context) {
   const TargetSlot fallback = this->exchange.FallbackOf(context.partition);
-  if (fallback == kNoSlot || this->world.Targets().At(fallback).gone) {
+  if (fallback == kNoSlot || this->local.Targets().At(fallback).gone) {
     return DropPacket{DropReason::kUnreachable};
   }
-  // The word of whoever decided before may still be on its way. A guess now
-  // could reach a target that doesn't know the flow and resets it; without an
-  // answer the caller only sends again.
-  const PartitionState& state = this->world.StateOf(context.partition);
-  const bool too_early =
-      state.owned && state.fallback_guessed &&
-      (context.now < state.owned_since + this->world.InForce().policy.lease ||
+  // The hand-over of the previous owner may still be on its way. The fallback
+  // target might not know the flow and would reset it, whereas the caller of a
+  // dropped packet only retransmits.
+  const PartitionState& state = this->local.StateOf(context.partition);
+  const bool unsettled =
+      state.owned && state.fallback_provisional &&
+      (context.now < state.owned_since +
+                         this->local.CurrentConfiguration().policy.lease ||
        this->exchange.IsLearning(context.partition, context.now));
-  const bool unsure = context.now < state.unsure_until;
-  if (too_early || unsure || this->MayBeAdopted(context.partition)) {
+  const bool suppressed = context.now < state.no_fallback_until;
+  if (unsettled || suppressed || this->MayBeAdopted(context.partition)) {
     return DropPacket{DropReason::kUnreachable};
   }
   if (context.packet.flags.rst) {
@@ -333,22 +337,22 @@
   }
   const FlowRecord record =
       this->MakeRecord(context, fallback, FlowState::kEstablished);
-  FlowRecord* const opened = this->world.OpenFlow(
+  FlowRecord* const opened = this->local.OpenFlow(
       context.flow, context.partition, record, Admission::kEstablishedFlow);
   if (opened != nullptr) {
     this->exchange.OnOpened(context.flow, context.partition, *opened,
                             context.now);
-    this->NoteProgress(context, *opened);
-    this->Note(context,
-               FlowRecovered{this->world.Targets().At(fallback).target.id,
-                             PlacementReason::kFallback});
+    this->UpdateRecord(context, *opened);
+    this->RecordDecision(
+        context, FlowRecovered{this->local.Targets().At(fallback).target.id,
+                               PlacementReason::kFallback});
   }
   return this->Forward(fallback, PlacementReason::kFallback);
 }
 
 bool FlowBalancer::MayBeAdopted(PartitionIndex partition) const {
-  const auto others = this->world.Subsets().At(partition).substitutes;
-  const auto& cut = this->world.Owners().View().unreachable;
+  const auto others = this->local.Subsets().At(partition).substitutes;
+  const auto& cut = this->local.Owners().View().unreachable;
   return std::any_of(
       others.begin(), others.end(), [&cut](common::DomainId other) {
         return std::find(cut.begin(), cut.end(), other) != cut.end();
@@ -357,23 +361,23 @@
 
 PacketAction FlowBalancer::PlaceNew(const Context& context,
                                     std::optional<PlacementReason> reason) {
-  const PartitionState& state = this->world.StateOf(context.partition);
-  if (!this->world.Table().HasRoom(Admission::kNewFlow)) {
+  const PartitionState& state = this->local.StateOf(context.partition);
+  if (!this->local.Table().HasRoom(Admission::kNewFlow)) {
     return this->Refuse(context, DropReason::kTableFull);
   }
-  const bool adopted = this->world.Owners().At(context.partition).adopted;
+  const bool adopted = this->local.Owners().At(context.partition).adopted;
   const PlacementRequest request{
       .flow = context.flow,
-      .service = &this->world.Directory().At(context.service),
-      .targets = this->world.Subsets().At(context.partition),
+      .service = &this->local.Directory().At(context.service),
+      .targets = this->local.Subsets().At(context.partition),
       .fallback = this->exchange.FallbackOf(context.partition),
-      .local = this->world.Owners().View().domain,
-      .unreachable = this->world.Owners().View().unreachable,
+      .local = this->local.Owners().View().domain,
+      .unreachable = this->local.Owners().View().unreachable,
       .adopted = adopted,
       .prefer_fallback = context.now < state.contested_until,
-      .reluctance = this->exchange.Reluctance(context.now)};
+      .reluctance = this->exchange.DeviationFactor(context.now)};
   std::optional<Placement> placement =
-      Place(request, this->world.Targets(), context.now);
+      Place(request, this->local.Targets(), context.now);
   if (!placement) {
     return this->Refuse(context, DropReason::kNoTarget);
   }
@@ -381,24 +385,24 @@
       adopted ? PlacementReason::kAdopted : reason.value_or(placement->reason);
   const FlowRecord record =
       this->MakeRecord(context, placement->slot, FlowState::kSyn);
-  FlowRecord* const opened = this->world.OpenFlow(
+  FlowRecord* const opened = this->local.OpenFlow(
       context.flow, context.partition, record, Admission::kNewFlow);
   this->exchange.OnOpened(context.flow, context.partition, *opened,
                           context.now);
-  this->Note(context,
-             FlowPlaced{this->world.Targets().At(placement->slot).target.id,
-                        placement->reason});
+  this->RecordDecision(
+      context, FlowPlaced{this->local.Targets().At(placement->slot).target.id,
+                          placement->reason});
   return this->Forward(placement->slot, placement->reason);
 }
 
 PacketAction FlowBalancer::Refuse(const Context& context, DropReason reason) {
-  if (this->world.HoldsLease() &&
-      this->exchange.IsSurelyNew(context.flow, context.partition,
-                                 context.now)) {
-    this->Note(context, FlowReset{ResetReason::kNotRun});
+  if (this->local.HoldsLease() &&
+      this->exchange.IsCertainlyNew(context.flow, context.partition,
+                                    context.now)) {
+    this->RecordDecision(context, FlowReset{ResetReason::kNotRun});
     return ResetCaller{ResetReason::kNotRun};
   }
-  this->Note(context, FlowDropped{reason});
+  this->RecordDecision(context, FlowDropped{reason});
   return DropPacket{reason};
 }
 
@@ -417,41 +421,41 @@
 
 ForwardToTarget FlowBalancer::Forward(TargetSlot slot,
                                       PlacementReason reason) const {
-  const Target& target = this->world.Targets().At(slot).target;
+  const Target& target = this->local.Targets().At(slot).target;
   return {target.id, target.tunnel, reason};
 }
 
 void FlowBalancer::EndFlow(const Context& context) {
   if (const FlowRecord* const record =
-          this->world.LiveRecord(context.flow, context.partition)) {
+          this->local.LiveRecord(context.flow, context.partition)) {
     this->exchange.OnEnded(context.flow, *record, context.now);
-    this->world.EndFlow(context.flow);
+    this->local.EndFlow(context.flow);
   }
 }
 
 template <typename What>
-void FlowBalancer::Note(const Context& context, What what) const {
+void FlowBalancer::RecordDecision(const Context& context, What what) const {
   context.outbox.decisions.emplace_back(FlowDecision{
       context.packet.flow, context.flow,
-      this->world.Directory().KeyOf(context.partition), std::move(what)});
+      this->local.Directory().KeyOf(context.partition), std::move(what)});
 }
 
 void FlowBalancer::OnConfiguration(
     std::shared_ptr<const Configuration> configuration,
     std::chrono::milliseconds now, Outbox& outbox) {
-  if (this->world.HasConfiguration() &&
-      configuration->revision <= this->world.InForce().revision) {
+  if (this->local.HasConfiguration() &&
+      configuration->revision <= this->local.CurrentConfiguration().revision) {
     return;
   }
   const std::vector<common::TargetId> ended =
-      this->world.SetConfiguration(std::move(configuration), now);
+      this->local.SetConfiguration(std::move(configuration), now);
   this->exchange.OnConfiguration(ended, now, outbox);
 }
 
 void FlowBalancer::OnFleetView(const FleetView& view,
                                std::chrono::milliseconds now, Outbox& outbox) {
-  const FleetView before = this->world.Owners().View();
-  this->world.SetView(view);
+  const FleetView before = this->local.Owners().View();
+  this->local.SetView(view);
   this->exchange.OnView(before, now, outbox);
 }
 
@@ -467,13 +471,13 @@
     this->exchange.OnOpeningsKnown(from, *known, now);
   } else if (const auto* const health =
                  std::get_if<TargetHealthChange>(&message)) {
-    this->world.Targets().OnHealth(*health, now);
+    this->local.Targets().OnHealth(*health, now);
   }
 }
 
 void FlowBalancer::OnTick(std::chrono::milliseconds now, Outbox& outbox) {
-  this->world.Expire(
-      now, kExpiryBatch,
+  this->local.Expire(
+      now, kMaxExpiryChecks,
       [this, now](common::Fingerprint flow, const FlowRecord& record) {
         this->exchange.OnEnded(flow, record, now);
       });
@@ -482,15 +486,15 @@
 
 BalancerStatus FlowBalancer::Status() const {
   BalancerStatus status;
-  status.flows = this->world.Table().Size();
+  status.flows = this->local.Table().Size();
   status.copies_held = this->exchange.CopiesHeld();
   status.copies_waiting = this->exchange.CopiesWaiting();
-  for (const PartitionState& state : this->world.Partitions()) {
+  for (const PartitionState& state : this->local.Partitions()) {
     status.owned_partitions += state.owned ? 1 : 0;
     status.exceptions += state.owned ? state.Exceptions() : 0;
   }
   status.handed_over =
-      this->world.Owners().View().leaving && !this->exchange.IsHandingOver();
+      this->local.Owners().View().leaving && !this->exchange.IsHandingOver();
   return status;
 }
 
--- a/source/core/flow_balancer.h
+++ b/source/core/flow_balancer.h
@@ -1,5 +1,5 @@
-/// The balancer of this product: decides about each packet from the records,
-/// the copies and the maps.
+/// The production balancer: decides about each packet by the flow records, the
+/// copies from other instances, and the owner and subset maps.
 #pragma once
 
 #include <chrono>
@@ -9,13 +9,13 @@
 #include "common/ids.h"
 #include "core/balancer.h"
 #include "core/exchange/exchange.h"
-#include "core/flow/flow_world.h"
+#include "core/flow/local_state.h"
 #include "core/placement/placer.h"
 
 namespace sassafrasdyke::core {
 
-/// One partition has one owner, and the owner alone places new flows. Everyone
-/// else hands packets on.
+/// Each partition has one owner, which alone places new flows. The other
+/// instances redirect packets to it.
 class FlowBalancer final : public Balancer {
  public:
   FlowBalancer(common::InstanceId self, common::Incarnation incarnation);
@@ -34,7 +34,7 @@
   BalancerStatus Status() const override;
 
  private:
-  /// A packet with what was found out about it.
+  /// A packet with its lookup results.
   struct Context {
     const PacketArrived& packet;
     common::Fingerprint flow;
@@ -47,42 +47,43 @@
   PacketAction Route(const Context& context);
   PacketAction DecideAsOwner(const Context& context);
   PacketAction AnswerNewOwner(const Context& context);
-  /// Hands the packet on, to be asked about in the name of `asker` if there is
-  /// one.
+  /// Redirects the packet to `to`, as an inquiry on behalf of `asker` if that
+  /// is given. Drops it for reason `otherwise` if `to` isn't in the view.
   PacketAction Redirect(
       const Context& context, common::InstanceId to, DropReason otherwise,
       std::optional<common::InstanceId> asker = std::nullopt) const;
-  /// Asks the next that may know the packet's flow, in the name of `asker`.
-  /// Nothing when all of them have been asked.
+  /// Redirects the packet to the next instance that may know its flow, as an
+  /// inquiry on behalf of `asker`. Empty if all of them have been asked.
   std::optional<PacketAction> Ask(const Context& context,
                                   common::InstanceId asker) const;
 
   PacketAction HandleKnown(const Context& context, FlowRecord& record);
   PacketAction HandleKnownSyn(const Context& context, FlowRecord& record);
-  PacketAction EndAtGoneTarget(const Context& context);
+  PacketAction HandleGoneTarget(const Context& context);
   PacketAction HandleUnknown(const Context& context);
   PacketAction HandleStale(const Context& context) const;
   PacketAction FollowCopy(const Context& context, TargetSlot slot);
   PacketAction Recover(const Context& context);
-  /// Whether a domain that can't be reached may have taken flows of the
-  /// partition: then an unknown flow may be one of those, and the fallback
-  /// would reset it. The caller sends again, perhaps to the other side.
+  /// Whether an unreachable failure domain may have adopted flows of the
+  /// partition. An unknown flow may then be one of those, and the fallback
+  /// target would reset it. The caller retransmits a dropped packet, which may
+  /// reach the other side.
   bool MayBeAdopted(PartitionIndex partition) const;
   PacketAction PlaceNew(const Context& context,
                         std::optional<PlacementReason> reason);
   PacketAction Refuse(const Context& context, DropReason reason);
   PacketAction EndWithReset(const Context& context, ResetReason reason);
 
-  void NoteProgress(const Context& context, FlowRecord& record);
+  void UpdateRecord(const Context& context, FlowRecord& record);
   FlowRecord MakeRecord(const Context& context, TargetSlot slot,
                         FlowState state) const;
   ForwardToTarget Forward(TargetSlot slot, PlacementReason reason) const;
   void EndFlow(const Context& context);
   template <typename What>
-  void Note(const Context& context, What what) const;
+  void RecordDecision(const Context& context, What what) const;
 
   common::InstanceId self;
-  FlowWorld world;
+  LocalState local;
   Exchange exchange;
 };
 
--- a/tests/core/lost_domain_test.cc
+++ b/tests/core/lost_domain_test.cc
@@ -1,4 +1,4 @@
-/// New flows whose home failure domain has nobody left to own them.
+/// New flows whose home failure domain has no usable instance left.
 #include <boost/test/data/monomorphic.hpp>
 #include <boost/test/data/test_case.hpp>
 #include <boost/test/unit_test.hpp>
@@ -16,7 +16,7 @@
 constexpr common::DomainId kLost{2};
 constexpr std::uint32_t kFlows = 200;
 constexpr std::chrono::milliseconds kStart = 0ms;
-/// When every target has its full share.
+/// When the slow start of every target is over.
 constexpr std::chrono::milliseconds kLater = 10'000ms;
 
 struct Loss {
@@ -50,18 +50,18 @@
                         {"suspected", Suspected()},
                         {"cut off", CutOff()}};
 
-/// A domain that is cut off can't be reached at all.
+/// Losses after which the domain's targets may still be reachable; those of a
+/// domain that is cut off aren't.
 const Loss kPlausible[] = {kLosses[0], kLosses[1]};
 
 bool IsInLostDomain(common::TargetId target) {
   return target.value % 2 == kLost.value % 2;
 }
 
-// A whole failure domain loses its power, and after a while the platform no
-// longer lists its instances. Its targets are still published as serving. A
-// flow whose home was there is placed by another domain; sent to one of the
-// dead targets, its caller would wait for a SYN-ACK that never comes.
-BOOST_DATA_TEST_CASE(an_adopted_flow_goes_where_someone_answers, kLosses, row) {
+// Guards against new flows at dead targets: a whole failure domain loses power,
+// but its targets are still published as serving. The callers of flows that
+// another domain adopts would wait for a SYN-ACK that never comes.
+BOOST_DATA_TEST_CASE(an_adopted_flow_avoids_the_lost_domain, kLosses, row) {
   const auto balancer =
       MakeBalancer(common::InstanceId{1}, common::Incarnation{1});
   Outbox outbox;
@@ -82,10 +82,9 @@
   BOOST_TEST(adopted > 0U);
 }
 
-// The same loss, but the other domain has no target of the service. A target
-// that may be dead is then better than a refusal, which surely serves nobody.
-BOOST_DATA_TEST_CASE(a_lost_domain_serves_when_nobody_else_can, kPlausible,
-                     row) {
+// Guards against refusals after the same loss when the other domain has no
+// target of the service: a target that may be dead is better than none.
+BOOST_DATA_TEST_CASE(a_lost_domain_serves_as_last_resort, kPlausible, row) {
   Configuration configuration =
       SampleConfiguration({.targets_per_service = 4, .domains = 2});
   for (Target& target : configuration.targets) {
--- a/tests/core/owner_change_test.cc
+++ b/tests/core/owner_change_test.cc
@@ -1,5 +1,5 @@
-/// Owners that change while instances see different views: few balancers, each
-/// told what to believe, without a random history.
+/// Changes of ownership while instances have different views, with few
+/// balancers whose views each test sets explicitly.
 #include <algorithm>
 #include <boost/test/data/monomorphic.hpp>
 #include <boost/test/data/test_case.hpp>
@@ -24,20 +24,21 @@
 using testing::Syn;
 
 constexpr std::uint32_t kLeaver = 1;
-constexpr std::uint32_t kHeir = 2;
+constexpr std::uint32_t kSuccessor = 2;
 constexpr std::uint32_t kJoiner = 3;
 
-/// Three instances of one domain: one leaves, one would inherit, one joins.
+/// Three instances of one domain: one leaves, one is its successor, one joins.
 class Fleet {
  public:
   Fleet() {
-    for (const std::uint32_t id : {kLeaver, kHeir}) {
+    for (const std::uint32_t id : {kLeaver, kSuccessor}) {
       this->Start(id);
-      this->Believe(id, {kLeaver, kHeir}, false);
+      this->SetView(id, {kLeaver, kSuccessor}, false);
     }
-    this->Pass(8s);
+    this->Advance(8s);
   }
 
+  /// Starts a new instance with the current configuration and no view.
   void Start(std::uint32_t id) {
     this->balancers[id] = std::make_unique<FlowBalancer>(
         common::InstanceId{id}, common::Incarnation{1});
@@ -47,10 +48,11 @@
     Outbox outbox;
     this->balancers[id]->OnConfiguration(testing::Accept(next), this->now,
                                          outbox);
-    this->Take(id, outbox);
+    this->QueueMessages(id, outbox);
   }
-  /// `id` sees these members; `leaves`: and that the leaver goes.
-  void Believe(std::uint32_t id, const std::vector<std::uint32_t>& members,
+  /// Sets the members in the view of `id`; with `leaves`, the leaver is marked
+  /// as leaving.
+  void SetView(std::uint32_t id, const std::vector<std::uint32_t>& members,
                bool leaves) {
     const FleetView all = testing::SampleView(id, kJoiner);
     FleetView view = all;
@@ -67,16 +69,16 @@
     view.leaving = leaves && id == kLeaver;
     Outbox outbox;
     this->balancers[id]->OnFleetView(view, this->now, outbox);
-    this->Take(id, outbox);
+    this->QueueMessages(id, outbox);
   }
-  /// Time passes; messages arrive at once.
-  void Pass(std::chrono::milliseconds time) {
+  /// Advances the clock with a tick each 100 ms; messages arrive at once.
+  void Advance(std::chrono::milliseconds time) {
     for (const auto end = this->now + time; this->now < end;) {
       this->now += 100ms;
       for (auto& [id, balancer] : this->balancers) {
         Outbox outbox;
         balancer->OnTick(this->now, outbox);
-        this->Take(id, outbox);
+        this->QueueMessages(id, outbox);
       }
       this->Deliver();
     }
@@ -89,17 +91,17 @@
           to != this->balancers.end()) {
         Outbox outbox;
         to->second->OnPeerMessage({from}, sent.message, this->now, outbox);
-        this->Take(to->first, outbox);
+        this->QueueMessages(to->first, outbox);
       }
     }
   }
-  /// What becomes of the packet that comes in at `entry`.
+  /// The final action for a packet that enters at `entry`, after all redirects.
   PacketAction Decide(std::uint32_t entry, PacketArrived packet) {
     for (std::uint32_t at = entry;;) {
       Outbox outbox;
       const PacketAction action =
           this->balancers[at]->OnPacket(packet, this->now, outbox);
-      this->Take(at, outbox);
+      this->QueueMessages(at, outbox);
       const auto* const redirect = std::get_if<RedirectToInstance>(&action);
       if (redirect == nullptr) {
         return action;
@@ -108,7 +110,7 @@
       at = redirect->instance.value;
     }
   }
-  /// The target that the packet reaches from `entry`; 0 for none.
+  /// The target that a packet reaches that enters at `entry`; 0 for none.
   common::TargetId Send(std::uint32_t entry, const PacketArrived& packet) {
     return testing::ForwardedTo(this->Decide(entry, packet));
   }
@@ -119,7 +121,7 @@
   std::chrono::milliseconds now{1000};
 
  private:
-  void Take(std::uint32_t from, Outbox& outbox) {
+  void QueueMessages(std::uint32_t from, Outbox& outbox) {
     for (OutgoingMessage& message : outbox.messages) {
       this->messages.emplace_back(from, std::move(message));
     }
@@ -128,19 +130,19 @@
   std::vector<std::pair<std::uint32_t, OutgoingMessage>> messages;
 };
 
-/// Drains a target of those that are published.
+/// A new revision with the target at index `target` draining.
 Configuration WithDrained(Configuration configuration, std::size_t target) {
   ++configuration.revision.value;
   configuration.targets.at(target).state = TargetState::kDraining;
   return configuration;
 }
 
-/// Through whom the packet after the SYN comes.
-const std::uint32_t kEntries[] = {kLeaver, kHeir, kJoiner};
+/// The instance at which the packet after the SYN enters.
+const std::uint32_t kEntries[] = {kLeaver, kSuccessor, kJoiner};
 
-// Guards against two instances that decide for one partition: the leaver gave
-// it up to the heir, the joiner has taken it, and the heir has heard of
-// neither.
+// Guards against two owners of one partition that send a flow to different
+// targets: the leaver has given the partition up to its successor, the joiner
+// has taken it over, and the successor has heard of neither change.
 BOOST_DATA_TEST_CASE(a_flow_of_one_owner_is_known_to_the_other, kEntries,
                      entry) {
   int placed_by_joiner = 0;
@@ -149,14 +151,14 @@
     const std::size_t targets = fleet.configuration.targets.size();
     const Configuration drained =
         WithDrained(fleet.configuration, caller % targets);
-    for (const std::uint32_t id : {kLeaver, kHeir}) {
+    for (const std::uint32_t id : {kLeaver, kSuccessor}) {
       fleet.Configure(id, drained);
     }
     fleet.configuration = drained;
-    fleet.Believe(kLeaver, {kLeaver, kHeir}, true);
+    fleet.SetView(kLeaver, {kLeaver, kSuccessor}, true);
     fleet.Start(kJoiner);
-    fleet.Believe(kJoiner, {kLeaver, kHeir, kJoiner}, true);
-    fleet.Believe(kHeir, {kLeaver, kHeir, kJoiner}, false);
+    fleet.SetView(kJoiner, {kLeaver, kSuccessor, kJoiner}, true);
+    fleet.SetView(kSuccessor, {kLeaver, kSuccessor, kJoiner}, false);
 
     const common::FlowKey flow = FlowOf(caller);
     const common::TargetId placed = fleet.Send(kJoiner, Syn(flow));
@@ -170,7 +172,8 @@
   BOOST_TEST(placed_by_joiner > 0);
 }
 
-/// A configuration whose last target is new and the only one that takes flows.
+/// A new revision whose last target is new and the only one that isn't
+/// draining.
 Configuration WithOnlyNewTarget(Configuration configuration) {
   ++configuration.revision.value;
   Target added = configuration.targets.front();
@@ -184,8 +187,9 @@
   return configuration;
 }
 
-/// Opens the flow at the last target of `later`, which only the leaver knows,
-/// and has it handed over. Nothing when the heir owns the flow's partition.
+/// Opens the flow at the last target of `later`, which only the leaver's
+/// configuration has, and hands it over. Empty if the successor owns the flow's
+/// partition.
 std::optional<common::TargetId> HandOverAtNewTarget(
     Fleet& fleet, const Configuration& later, const common::FlowKey& flow) {
   fleet.Configure(kLeaver, later);
@@ -194,16 +198,16 @@
     return std::nullopt;
   }
   fleet.Send(kLeaver, Data(flow, 1));
-  for (const std::uint32_t id : {kLeaver, kHeir}) {
-    fleet.Believe(id, {kLeaver, kHeir}, true);
+  for (const std::uint32_t id : {kLeaver, kSuccessor}) {
+    fleet.SetView(id, {kLeaver, kSuccessor}, true);
   }
-  fleet.Pass(1s);
+  fleet.Advance(1s);
   return placed;
 }
 
-// Guards against a flow that a hand-over names and nobody has: its target is in
-// a later configuration than the new owner's.
-BOOST_AUTO_TEST_CASE(a_flow_at_a_target_unknown_yet_is_kept) {
+// Guards against the loss of a flow in a hand-over: its target is in a later
+// configuration than the new owner's.
+BOOST_AUTO_TEST_CASE(a_flow_at_an_unknown_target_is_kept) {
   int tried = 0;
   for (std::uint32_t caller = 0; caller < 100; ++caller) {
     Fleet fleet;
@@ -211,24 +215,24 @@
     const common::FlowKey flow = FlowOf(caller);
     const auto placed = HandOverAtNewTarget(fleet, later, flow);
     if (!placed) {
-      continue;  // The heir's partition.
+      continue;  // The successor owns the partition.
     }
     ++tried;
-    const common::TargetId early = fleet.Send(kHeir, Data(flow, 2));
-    fleet.Configure(kHeir, later);
-    fleet.Pass(1s);
+    const common::TargetId early = fleet.Send(kSuccessor, Data(flow, 2));
+    fleet.Configure(kSuccessor, later);
+    fleet.Advance(1s);
 
     BOOST_TEST((early.value == 0 || early == *placed));
-    BOOST_TEST(fleet.Send(kHeir, Data(flow, 2)) == *placed);
+    BOOST_TEST(fleet.Send(kSuccessor, Data(flow, 2)) == *placed);
   }
   BOOST_TEST(tried > 0);
 }
 
 // Guards against an empty copy set that removes such a flow from the new owner:
-// the one before has forgotten it, and is asked about others meanwhile.
-BOOST_AUTO_TEST_CASE(a_flow_at_a_target_unknown_yet_outlives_a_denial) {
+// the previous owner has dropped it and is asked about other flows meanwhile.
+BOOST_AUTO_TEST_CASE(a_flow_at_an_unknown_target_survives_a_negative_answer) {
   constexpr std::uint32_t kCallers = 20;
-  constexpr std::uint32_t kStrangers = 200;
+  constexpr std::uint32_t kUnknownFlows = 200;
   int tried = 0;
   for (std::uint32_t caller = 0; caller < kCallers; ++caller) {
     Fleet fleet;
@@ -236,98 +240,100 @@
     const common::FlowKey flow = FlowOf(caller);
     const auto placed = HandOverAtNewTarget(fleet, later, flow);
     if (!placed) {
-      continue;  // The heir's partition.
+      continue;  // The successor owns the partition.
     }
     ++tried;
-    for (std::uint32_t other = 0; other < kStrangers; ++other) {
-      fleet.Send(kHeir, Data(FlowOf(kCallers + other), 2));
+    for (std::uint32_t other = 0; other < kUnknownFlows; ++other) {
+      fleet.Send(kSuccessor, Data(FlowOf(kCallers + other), 2));
     }
-    fleet.Pass(2s);
-    fleet.Configure(kHeir, later);
-    fleet.Pass(1s);
+    fleet.Advance(2s);
+    fleet.Configure(kSuccessor, later);
+    fleet.Advance(1s);
 
-    BOOST_TEST(fleet.Send(kHeir, Data(flow, 2)) == *placed);
+    BOOST_TEST(fleet.Send(kSuccessor, Data(flow, 2)) == *placed);
   }
   BOOST_TEST(tried > 0);
 }
 
-/// How the heir comes to own the leaver's partitions, and what it may say.
-struct Inheritance {
+/// How the successor takes over the leaver's partitions, and whether it may
+/// refuse SYNs.
+struct Succession {
   const char* name;
-  std::chrono::milliseconds owned;  ///< By the leaver, before it leaves.
-  bool hands_over;                  ///< It leaves; else it dies.
-  bool refuses;                     ///< SYNs, soon after.
+  std::chrono::milliseconds owned;  ///< By the leaver, before it goes.
+  bool hands_over;                  ///< It leaves cleanly; else it crashes.
+  bool refuses;                     ///< SYNs, shortly afterwards.
 };
 
-std::ostream& operator<<(std::ostream& out, const Inheritance& row) {
+std::ostream& operator<<(std::ostream& out, const Succession& row) {
   return out << row.name;
 }
 
-const Inheritance kInheritances[] = {
+const Succession kSuccessions[] = {
     {"from an old owner", 40s, true, true},
     {"from an owner that came lately", 10s, true, false},
     {"from one that died", 40s, false, false}};
 
-// Guards against a caller that hears nothing for half a minute: no target takes
-// flows, and the owner has just come, though the one before told it all.
-BOOST_DATA_TEST_CASE(an_heir_refuses_what_its_predecessor_could, kInheritances,
-                     row) {
+// Guards against a caller that gets no answer for half a minute: no target
+// takes new flows, and a new owner doesn't refuse SYNs although its predecessor
+// handed over everything.
+BOOST_DATA_TEST_CASE(a_new_owner_refuses_syns_like_its_predecessor,
+                     kSuccessions, row) {
   Fleet fleet;
-  fleet.Pass(row.owned);
+  fleet.Advance(row.owned);
   Configuration drained = fleet.configuration;
   ++drained.revision.value;
   for (Target& target : drained.targets) {
     target.state = TargetState::kDraining;
   }
-  for (const std::uint32_t id : {kLeaver, kHeir}) {
+  for (const std::uint32_t id : {kLeaver, kSuccessor}) {
     fleet.Configure(id, drained);
   }
   if (row.hands_over) {
-    for (const std::uint32_t id : {kLeaver, kHeir}) {
-      fleet.Believe(id, {kLeaver, kHeir}, true);
+    for (const std::uint32_t id : {kLeaver, kSuccessor}) {
+      fleet.SetView(id, {kLeaver, kSuccessor}, true);
     }
-    fleet.Pass(1s);
+    fleet.Advance(1s);
   }
   fleet.balancers.erase(kLeaver);
-  fleet.Believe(kHeir, {kHeir}, false);
-  fleet.Pass(6s);
+  fleet.SetView(kSuccessor, {kSuccessor}, false);
+  fleet.Advance(6s);
 
   std::size_t refused = 0;
   for (std::uint32_t caller = 100; caller < 200; ++caller) {
     refused += std::holds_alternative<ResetCaller>(
-                   fleet.Decide(kHeir, Syn(FlowOf(caller))))
+                   fleet.Decide(kSuccessor, Syn(FlowOf(caller))))
                    ? 1
                    : 0;
   }
   BOOST_TEST((refused == 100U) == row.refuses);
 }
 
-// Guards against a false "not run": the heir can't make a record of a SYN that
-// was handed over, as its configuration doesn't name the target yet.
-BOOST_AUTO_TEST_CASE(a_syn_at_a_target_unknown_yet_is_not_refused) {
+// Guards against a false "not run": the successor can't create a record for a
+// SYN that was handed over, since its configuration lacks the target.
+BOOST_AUTO_TEST_CASE(a_syn_at_an_unknown_target_is_not_refused) {
   int tried = 0;
   for (std::uint32_t caller = 0; caller < 20; ++caller) {
     Fleet fleet;
-    fleet.Pass(40s);
+    fleet.Advance(40s);
     Configuration drained = fleet.configuration;
     ++drained.revision.value;
     for (Target& target : drained.targets) {
       target.state = TargetState::kDraining;
     }
-    fleet.Configure(kHeir, drained);
+    fleet.Configure(kSuccessor, drained);
     const Configuration later = WithOnlyNewTarget(drained);
     fleet.Configure(kLeaver, later);
     const common::FlowKey flow = FlowOf(caller);
     if (fleet.Send(kLeaver, Syn(flow)) != later.targets.back().id) {
-      continue;  // The heir's partition.
+      continue;  // The successor owns the partition.
     }
     ++tried;
-    for (const std::uint32_t id : {kLeaver, kHeir}) {
-      fleet.Believe(id, {kLeaver, kHeir}, true);
+    for (const std::uint32_t id : {kLeaver, kSuccessor}) {
+      fleet.SetView(id, {kLeaver, kSuccessor}, true);
     }
-    fleet.Pass(6s);
+    fleet.Advance(6s);
 
-    const PacketAction action = fleet.Decide(kHeir, Syn(flow));
+    const PacketAction action = fleet.Decide(kSuccessor, Syn(flow));
 
     BOOST_TEST(!std::holds_alternative<ResetCaller>(action));
   }
--- a/tests/core/scenario_test.cc
+++ b/tests/core/scenario_test.cc
@@ -1,5 +1,5 @@
-/// Several instances through planned changes and faults, beside a naive model
-/// that knows every flow.
+/// A fleet of several instances under planned changes and faults, checked
+/// against a reference model that knows every flow.
 #include <boost/test/data/monomorphic.hpp>
 #include <boost/test/data/test_case.hpp>
 #include <boost/test/unit_test.hpp>
@@ -17,9 +17,9 @@
 
 const std::uint64_t kSeeds[] = {1, 2, 3};
 
-// Operators drain targets and replace instances while hundreds of diary feeds
-// are open, and news reaches each instance at another time. A user must notice
-// nothing; after a fault, only flows that were too young to be copied may go.
+// Guards against broken flows while targets are drained and instances replaced,
+// with changes reaching each instance at a different time. No planned change
+// may break a flow; a fault may break only those too young to be copied.
 BOOST_DATA_TEST_CASE(flows_survive,
                      boost::unit_test::data::make(Scenarios()) *
                          boost::unit_test::data::make(kSeeds),
