--- a/source/core/balancer.h
+++ b/source/core/balancer.h
@@ -1,5 +1,5 @@
-/// The flow side of the core: decides for every packet, and keeps what must
-/// be remembered of flows. No input or output, no clock.
+/// The flow side of the core: decides about every packet and keeps the flow
+/// records. It does no I/O and reads no clock.
 #pragma once
 
 #include <chrono>
@@ -16,13 +16,14 @@
 
 namespace sassafrasdyke::core {
 
-/// What one call left to be done besides its answer. The caller empties it.
+/// Messages to send and decisions to log that a call produced besides its
+/// result. The caller sends and logs them and clears the outbox.
 struct Outbox {
   std::vector<OutgoingMessage> messages;
   std::vector<Decision> decisions;
 };
 
-/// Numbers a person or a metric asks for.
+/// The balancer's figures for the status page and the metrics.
 struct BalancerStatus {
   std::size_t flows{0};
   std::size_t exceptions{0};      ///< Flows not at their fallback.
@@ -32,41 +33,41 @@
   bool handed_over{false};  ///< Leaving, and nothing is left to hand over.
 };
 
-/// The interface the data path drives. All times are monotonic, since process
-/// start, and never fall.
+/// The interface that the data path calls. All times are monotonic and count
+/// from process start.
 class Balancer {
  public:
   virtual ~Balancer() = default;
 
-  /// Decides about one packet. Never fails: what can't be served is a
-  /// `DropPacket` or a `ResetCaller` with its reason.
+  /// Decides about one packet. Never fails: a packet that can't be served gets
+  /// a `DropPacket` or a `ResetCaller` with the reason.
   virtual PacketAction OnPacket(const PacketArrived& packet,
                                 std::chrono::milliseconds now,
                                 Outbox& outbox) = 0;
 
-  /// Takes a newer accepted configuration; an older revision is ignored.
+  /// Applies a newer accepted configuration; an older revision is ignored.
   virtual void OnConfiguration(
       std::shared_ptr<const Configuration> configuration,
       std::chrono::milliseconds now, Outbox& outbox) = 0;
 
-  /// Takes what the fleet side now believes.
+  /// Applies the fleet side's latest view.
   virtual void OnFleetView(const FleetView& view, std::chrono::milliseconds now,
                            Outbox& outbox) = 0;
 
-  /// Takes a copy, an acknowledgement or a health change from a peer; other
-  /// messages are not for it and are ignored.
+  /// Handles an exception copy, an acknowledgement or a health change from a
+  /// peer; messages of other kinds are ignored.
   virtual void OnPeerMessage(common::InstanceId from,
                              const PeerMessage& message,
                              std::chrono::milliseconds now, Outbox& outbox) = 0;
 
-  /// Does periodic work: expiry, copies, ramps. Called about 10 times a
+  /// Does periodic work: expiry, copies, slow start. Called about 10 times a
   /// second; the work of one call is bounded.
   virtual void OnTick(std::chrono::milliseconds now, Outbox& outbox) = 0;
 
   virtual BalancerStatus Status() const = 0;
 };
 
-/// Makes the balancer of this product.
+/// Creates the production balancer.
 std::unique_ptr<Balancer> MakeBalancer(common::InstanceId self,
                                        common::Incarnation incarnation);
 
--- a/source/core/configuration.h
+++ b/source/core/configuration.h
@@ -1,5 +1,5 @@
-/// The fleet-wide configuration and the instance list, as the decisions see
-/// them: checked, typed, and never changed once published to the core.
+/// The fleet-wide configuration and the instance list: validated, typed, and
+/// immutable once published to the core.
 #pragma once
 
 #include <chrono>
@@ -13,7 +13,7 @@
 
 namespace sassafrasdyke::core {
 
-/// What the platform says of a target.
+/// A target's state as the platform publishes it.
 enum class TargetState {
   kServing,   ///< Takes new flows.
   kDraining,  ///< Keeps its flows and takes no new ones.
@@ -29,16 +29,16 @@
   /// Share of the flows, relative to the service's other targets.
   std::uint32_t weight{100};
   TargetState state{TargetState::kServing};
-  /// Requests it serves at once, as the platform declares it.
+  /// Requests it serves concurrently, as the platform declares.
   std::uint32_t slots{2};
-  /// Connections it accepts at most.
+  /// Maximum number of connections it accepts.
   std::uint32_t connections{2000};
-  /// Where its health and load are read over HTTP; port 0 when it has none.
+  /// Where its health and load are read over HTTP; port 0 when it offers none.
   common::Endpoint health;
 };
 
 /// How a service's flows are placed. Every field is a published setting with
-/// a fleet-wide default that an exception may change for one service.
+/// a fleet-wide default that an exception may override for one service.
 struct ServicePolicy {
   /// The placement policy's registered name.
   std::string placement{"least-loaded"};
@@ -49,26 +49,28 @@
   /// Open flows by which the default target must be busier than another before
   /// a new flow leaves the default.
   std::uint32_t deviate_by{2};
-  /// Age at which an exception is worth a copy to the standby.
+  /// Age at which an exception is copied to the standby.
   std::chrono::milliseconds copy_after{1000};
-  /// Idle time after which a flow that never got past its SYN is forgotten.
+  /// Idle time after which the record of a half-open flow is dropped.
   std::chrono::milliseconds syn_idle{std::chrono::seconds{30}};
-  /// Idle time after which an established flow is forgotten.
+  /// Idle time after which the record of an established flow is dropped.
   std::chrono::milliseconds established_idle{std::chrono::hours{3}};
-  /// Idle time after which a flow that saw FIN or RST is forgotten.
+  /// Idle time after which the record of a flow with a FIN or RST is dropped.
   std::chrono::milliseconds closing_idle{std::chrono::seconds{10}};
-  /// Time over which a target that is new or returns takes its full share.
+  /// Slow start: time over which a new or returning target reaches its full
+  /// share.
   std::chrono::milliseconds ramp{std::chrono::seconds{10}};
-  /// Greatest share of a service's targets that may be ejected at once.
+  /// Maximum share of a service's targets that may be ejected at once.
   std::uint32_t eject_share_percent{30};
-  /// Repeats of one sequence number after which a path may be called dead.
+  /// Retransmissions of one sequence number after which a path may be
+  /// considered dead.
   std::uint32_t silent_repeats{4};
   /// Whether other failure domains' targets may serve when the local ones
   /// can't.
   bool spill{true};
 };
 
-/// A service: what callers connect to.
+/// A service: the address that callers connect to, and its policy.
 struct Service {
   common::ServiceId id;
   std::string name;
@@ -76,41 +78,43 @@
   ServicePolicy policy;
 };
 
-/// Which instances the fabric may hand a flow's packets to.
+/// Which instances the fabric may deliver a flow's packets to.
 enum class FabricScope {
   kFleet,   ///< Any instance of any failure domain.
   kDomain,  ///< Any instance of one failure domain.
 };
 
-/// Limits and times of the fleet's own work.
+/// Limits and timeouts of the instances' coordination.
 struct FleetPolicy {
   FabricScope fabric_scope{FabricScope::kFleet};
-  /// Instances of each failure domain that hold the platform's watch.
+  /// Instances of each failure domain that watch the platform's store.
   std::uint32_t readers_per_domain{2};
-  /// Peers that watch each instance.
+  /// Peers that monitor each instance.
   std::uint32_t watchers{3};
   std::chrono::milliseconds heartbeat_interval{500};
-  /// Silence after which a watcher suspects an instance.
+  /// Time without a heartbeat after which a watcher suspects an instance.
   std::chrono::milliseconds suspect_after{2000};
-  /// Silence of peers and platform after which an instance is stale.
+  /// Time without contact to peers and platform after which an instance's lease
+  /// expires.
   std::chrono::milliseconds lease{5000};
-  /// Average budget of exception copies, encoded bytes a second.
+  /// Average budget of exception copies, in encoded bytes per second.
   std::size_t copy_bytes_per_second{4000};
-  /// Average budget of all control traffic, encoded bytes a second.
+  /// Average budget of all control traffic, in encoded bytes per second.
   std::size_t control_bytes_per_second{9000};
-  /// Flow records an instance holds at most.
+  /// Maximum number of flow records on an instance.
   std::size_t max_flows{1'000'000};
-  /// Quiet time at the fabric after which a leaving instance may stop.
+  /// Time without packets from the fabric after which a leaving instance may
+  /// stop.
   std::chrono::milliseconds leave_quiet{2000};
-  /// Longest time a leaving instance stays.
+  /// Time after which a leaving instance stops in any case.
   std::chrono::milliseconds leave_deadline{std::chrono::minutes{5}};
 };
 
 /// A published deviation from the defaults, with its reason.
 struct ConfigurationException {
-  /// JSON path of what it changes, such as "services/diary".
+  /// JSON path of the changed object, such as "services/diary".
   std::string subject;
-  /// The keys it changes, in the order written.
+  /// The changed keys, in document order.
   std::vector<std::string> keys;
   std::string reason;
 };
@@ -136,7 +140,7 @@
   std::vector<ConfigurationException> exceptions;
 };
 
-/// What the platform says of an instance.
+/// An instance's state as the platform publishes it.
 enum class InstanceState {
   kLive,
   kLeaving,  ///< Being stopped; takes no new ownership.
@@ -154,8 +158,8 @@
   InstanceState state{InstanceState::kLive};
 };
 
-/// One revision of the platform's instance list, sorted by id. It lags behind
-/// the truth in both directions.
+/// One revision of the platform's instance list, sorted by id. It may still
+/// name instances that have stopped and miss ones that have started.
 struct InstanceList {
   common::Revision revision;
   std::vector<Instance> instances;
--- a/source/core/decision.h
+++ b/source/core/decision.h
@@ -1,4 +1,4 @@
-/// The decisions that are logged: one value for each line.
+/// The entries of the decision log: one value per line.
 #pragma once
 
 #include <cstdint>
@@ -14,7 +14,7 @@
 
 namespace sassafrasdyke::core {
 
-/// A new flow was placed, or placed again.
+/// A new flow was placed, or placed anew.
 struct FlowPlaced {
   common::TargetId target;
   PlacementReason reason{PlacementReason::kDefault};
@@ -30,15 +30,15 @@
   DropReason reason{DropReason::kNoTarget};
 };
 
-/// An established flow without a record was sent somewhere.
+/// An established flow without a record on this instance was assigned a target.
 struct FlowRecovered {
   common::TargetId target;
   PlacementReason reason{PlacementReason::kFallback};
 };
 
 /// A decision about one flow. Instances log it with their id, their failure
-/// domain and the configuration's revision; `flow` and `fingerprint` are the
-/// same on every instance, so one id follows a flow over the fleet.
+/// domain and the configuration's revision. `flow` and `fingerprint` are the
+/// same on every instance, so a flow can be traced across the fleet by either.
 struct FlowDecision {
   common::FlowKey flow;
   common::Fingerprint fingerprint;
@@ -50,22 +50,23 @@
 enum class PartitionEvent : std::uint8_t {
   kTaken,            ///< This instance became the owner.
   kGivenUp,          ///< Another instance became the owner.
-  kFallbackChanged,  ///< The other target now counts as the default.
-  kHandedOver,       ///< Every exception is with the heir.
+  kFallbackChanged,  ///< Flows without a record now go to another target.
+  kHandedOver,       ///< Every exception has reached the heir.
 };
 
 /// A decision about one partition.
 struct PartitionDecision {
   PartitionKey partition;
   PartitionEvent event{PartitionEvent::kTaken};
-  /// The other instance concerned: heir or predecessor; 0 when there is none.
+  /// The new owner (heir) or the previous one; 0 when there is none.
   common::InstanceId other;
 };
 
 /// One line of the decision log.
 using Decision = std::variant<FlowDecision, PartitionDecision>;
 
-/// The log's word for a value; stable, documented in OPERATIONS-BALANCE.md.
+/// The value's name in the log. The names are stable and documented in
+/// OPERATIONS-BALANCE.md.
 std::string_view Word(PlacementReason reason);
 std::string_view Word(DropReason reason);
 std::string_view Word(ResetReason reason);
--- a/source/core/fleet_view.h
+++ b/source/core/fleet_view.h
@@ -1,5 +1,5 @@
-/// What this instance believes of its fleet right now. The fleet side of the
-/// core makes it; the flow side only reads it.
+/// This instance's present view of the fleet's membership. The fleet side of
+/// the core produces it; the flow side only reads it.
 #pragma once
 
 #include <vector>
@@ -9,11 +9,11 @@
 
 namespace sassafrasdyke::core {
 
-/// What one instance is good for.
+/// Which work an instance can do.
 enum class InstanceUse {
   kOwner,      ///< May own partitions.
-  kLeaving,    ///< Still forwards, owns nothing new.
-  kSuspected,  ///< Confirmed silent; owns nothing.
+  kLeaving,    ///< Still forwards; takes no new ownership.
+  kSuspected,  ///< Confirmed unresponsive; owns nothing.
 };
 
 /// One instance as seen from here.
@@ -25,15 +25,15 @@
   InstanceUse use{InstanceUse::kOwner};
 };
 
-/// Whether this instance may act on what it knows.
+/// Whether this instance may act on its view.
 enum class Lease {
-  kHeld,    ///< Fresh word from peers or platform.
-  kStale,   ///< Silence, though others are thought alive: place nothing new.
-  kCutOff,  ///< Nobody left to ask: serve from the last known state.
+  kHeld,    ///< In contact with peers or the platform.
+  kStale,   ///< Expired while others may be alive: place no new flows.
+  kCutOff,  ///< Nobody is left to contact: serve from the last known state.
 };
 
-/// The whole belief, replaced as one value. `instances` is sorted by id and
-/// includes this one.
+/// A snapshot of the whole view, replaced as one value. `instances` is sorted
+/// by id and includes this one.
 struct FleetView {
   common::InstanceId self;
   common::DomainId domain;
@@ -41,7 +41,7 @@
   /// This instance is stopping.
   bool leaving{false};
   std::vector<InstanceView> instances;
-  /// Failure domains none of whose instances answers.
+  /// Failure domains of which no instance answers.
   std::vector<common::DomainId> unreachable;
 };
 
--- a/source/core/packet.h
+++ b/source/core/packet.h
@@ -1,4 +1,4 @@
-/// What a packet asks of the balancer, and what the balancer answers.
+/// A received packet and the balancer's decision about it.
 #pragma once
 
 #include <cstdint>
@@ -18,22 +18,23 @@
   bool rst{false};
 };
 
-/// Why one instance handed a packet to another.
+/// Why one instance redirected a packet to another.
 enum class HopPurpose : std::uint8_t {
-  kToOwner = 0,      ///< The sender believes that the receiver owns the flow.
-  kAskPrevious = 1,  ///< A new owner asks whoever may have decided before it
-                     ///< about a flow that it doesn't know.
+  kToOwner = 0,      ///< The receiver owns the flow in the sender's view.
+  kAskPrevious = 1,  ///< A new owner asks a possible previous owner about a
+                     ///< flow that it has no record of.
 };
 
 /// How a packet reached this instance.
 struct Arrival {
-  /// 0 from the fabric, else the number of instances it has passed through.
+  /// The number of instances it has passed through; 0 from the fabric.
   std::uint8_t hops{0};
-  /// The instance that sent it; only meaningful when `hops` > 0.
+  /// The instance that redirected it; only meaningful when `hops` > 0.
   common::InstanceId from;
   HopPurpose purpose{HopPurpose::kToOwner};
   /// The new owner that has asked others about the packet, 0 for none. It gets
-  /// the packet back when nobody knows the flow, and then decides itself.
+  /// the packet back when none of them has a record of the flow, and then
+  /// decides itself.
   common::InstanceId asker{};
 };
 
@@ -54,45 +55,45 @@
   kTableFull,       ///< No room for the record of a new flow.
   kNoTarget,        ///< No target of the service can take it.
   kUnreachable,     ///< The flow's target can't be reached from here now.
-  kStale,           ///< This instance's lease has run out.
-  kClosed,          ///< The flow has ended here.
+  kStale,           ///< This instance's lease has expired.
+  kClosed,          ///< The flow has ended on this instance.
 };
 
-/// Why a flow went where it went; the decision log's `reason`.
+/// Why a flow was sent to its target; the decision log's `reason`.
 enum class PlacementReason : std::uint8_t {
-  kDefault,        ///< First usable target of the partition's order.
+  kDefault,        ///< The first usable target of the partition.
   kLessLoaded,     ///< The default was busier by the service's threshold.
-  kRamp,           ///< The default is still taking a growing share.
-  kEjected,        ///< The default swallows new flows.
+  kRamp,           ///< The default is in slow start.
+  kEjected,        ///< The default is ejected or reported unhealthy.
   kDraining,       ///< The default is draining.
   kSpill,          ///< No local target could serve.
   kRecord,         ///< The flow has a record here.
-  kCopy,           ///< A copied exception names the target.
-  kFallback,       ///< Established, unknown: the partition's fallback.
-  kAskedPrevious,  ///< Placed on behalf of a new owner.
-  kAdopted,        ///< Its home failure domain can't be reached.
-  kReplaced,       ///< A SYN whose first target is gone, placed again.
+  kCopy,           ///< An exception copied to this standby names the target.
+  kFallback,       ///< Established without a record: the fallback.
+  kAskedPrevious,  ///< Answered for a new owner that asked this instance.
+  kAdopted,        ///< The home domain has no instance that can own it.
+  kReplaced,       ///< The first target of the SYN is gone; placed anew.
 };
 
-/// Send the packet to a target, unchanged, in one GUE datagram.
+/// Send the packet to a target, unchanged, encapsulated in one GUE datagram.
 struct ForwardToTarget {
   common::TargetId target;
   common::Endpoint tunnel;
   PlacementReason reason{PlacementReason::kRecord};
 };
 
-/// Hand the packet to another instance.
+/// Redirect the packet to another instance.
 struct RedirectToInstance {
   common::InstanceId instance;
   common::Endpoint tunnel;
-  Arrival arrival;  ///< What the receiver shall be told.
+  Arrival arrival;  ///< Sent along to the receiver.
 };
 
 /// Why a caller is sent a RST.
 enum class ResetReason : std::uint8_t {
-  kNotRun,      ///< Answers a SYN none of whose payload went anywhere.
-  kTargetGone,  ///< The target is published as gone; the outcome is unknown.
-  kSilentPath,  ///< The path is dead while new flows to the target work.
+  kNotRun,      ///< Refuses a SYN: no payload of the flow was forwarded.
+  kTargetGone,  ///< The target is no longer published; outcome unknown.
+  kSilentPath,  ///< The flow gets no answers; new flows to its target do.
 };
 
 /// Answer the caller with a TCP RST.
@@ -100,12 +101,12 @@
   ResetReason reason{ResetReason::kNotRun};
 };
 
-/// Count the packet and forget it.
+/// Count the packet and discard it.
 struct DropPacket {
   DropReason reason{DropReason::kUnknownService};
 };
 
-/// What to do with one packet: exactly one thing.
+/// What to do with one packet.
 using PacketAction =
     std::variant<ForwardToTarget, RedirectToInstance, ResetCaller, DropPacket>;
 
--- a/source/core/placement/hash_only.h
+++ b/source/core/placement/hash_only.h
@@ -5,7 +5,8 @@
 
 namespace sassafrasdyke::core {
 
-/// Costs no exceptions and balances only as well as hashing does.
+/// Needs no exception records; balances only as evenly as the hash spreads
+/// flows.
 class HashOnly final : public PlacementPolicy {
  public:
   std::size_t Choose(const PlacementQuery& query) const override;
--- a/source/core/placement/least_loaded.cc
+++ b/source/core/placement/least_loaded.cc
@@ -14,10 +14,10 @@
   if (others == 0) {
     return 0;
   }
-  // Comparing with all of them would send every flow of the partition to a
-  // target that has just returned empty, until its count of open flows has
-  // caught up: hours with long flows. With one alternative it gets at most its
-  // turn.
+  // Comparing with every option would send all new flows of the partition to a
+  // target that has just returned without flows, until its count of open flows
+  // has caught up: hours with long flows. With a single hashed alternative it
+  // gets at most its hash share.
   const std::uint64_t hash =
       common::HashNumbers(query.flow.value, others, kAlternativeSalt);
   const std::size_t other = 1 + static_cast<std::size_t>(hash % others);
--- a/source/core/placement/owner_map.cc
+++ b/source/core/placement/owner_map.cc
@@ -11,43 +11,45 @@
 
 constexpr std::uint64_t kInstanceSalt = 0x696E7374616E6365ULL;
 
-struct Ranked {
+/// The candidates with the highest and second highest rendezvous hash; 0 where
+/// there is none.
+struct TopTwo {
   common::InstanceId first;
   common::InstanceId second;
 };
 
-Ranked FirstTwo(const std::vector<common::InstanceId>& candidates,
-                std::uint64_t partition_hash) {
-  Ranked ranked;
+TopTwo FindTopTwo(const std::vector<common::InstanceId>& candidates,
+                  std::uint64_t partition_hash) {
+  TopTwo top;
   std::uint64_t first = 0;
   std::uint64_t second = 0;
   for (const common::InstanceId id : candidates) {
     const std::uint64_t hash =
         common::HashNumbers(partition_hash, id.value, kInstanceSalt);
-    if (ranked.first.value == 0 || hash > first) {
+    if (top.first.value == 0 || hash > first) {
       second = first;
-      ranked.second = ranked.first;
+      top.second = top.first;
       first = hash;
-      ranked.first = id;
-    } else if (ranked.second.value == 0 || hash > second) {
+      top.first = id;
+    } else if (top.second.value == 0 || hash > second) {
       second = hash;
-      ranked.second = id;
+      top.second = id;
     }
   }
-  return ranked;
+  return top;
 }
 
-/// The instances of a domain that may own; when none may, those that are
-/// leaving go on serving, since nobody else will.
-class DomainMembers {
+/// The owner candidates of each reachable domain. A domain without an instance
+/// that may own falls back to its leaving ones: no other would serve there.
+class OwnerCandidates {
  public:
-  explicit DomainMembers(const FleetView& view) {
+  explicit OwnerCandidates(const FleetView& view) {
     for (const InstanceView& instance : view.instances) {
-      Members& members = this->by_domain[instance.domain];
+      Instances& instances = this->by_domain[instance.domain];
       if (instance.use == InstanceUse::kOwner) {
-        members.owners.push_back(instance.id);
+        instances.owners.push_back(instance.id);
       } else if (instance.use == InstanceUse::kLeaving) {
-        members.leaving.push_back(instance.id);
+        instances.leaving.push_back(instance.id);
       }
     }
     for (const common::DomainId domain : view.unreachable) {
@@ -57,23 +59,23 @@
     }
   }
 
-  const std::vector<common::InstanceId>& Candidates(
+  const std::vector<common::InstanceId>& InDomain(
       common::DomainId domain) const {
     static const std::vector<common::InstanceId> none;
     const auto found = this->by_domain.find(domain);
     if (found == this->by_domain.end()) {
       return none;
     }
-    const Members& members = found->second;
-    return members.owners.empty() ? members.leaving : members.owners;
+    const Instances& instances = found->second;
+    return instances.owners.empty() ? instances.leaving : instances.owners;
   }
 
  private:
-  struct Members {
+  struct Instances {
     std::vector<common::InstanceId> owners;
     std::vector<common::InstanceId> leaving;
   };
-  std::map<common::DomainId, Members> by_domain;
+  std::map<common::DomainId, Instances> by_domain;
 };
 
 }  // namespace
@@ -81,20 +83,21 @@
 OwnerMap::OwnerMap(const SubsetMap& subsets, std::size_t partitions,
                    FleetView view)
     : view(std::move(view)) {
-  const DomainMembers members(this->view);
+  const OwnerCandidates candidates_by_domain(this->view);
   this->owners.reserve(partitions);
   for (std::uint32_t i = 0; i < partitions; ++i) {
     const PartitionIndex partition{i};
     const PartitionSubset targets = subsets.At(partition);
     const std::vector<common::InstanceId>* candidates =
-        &members.Candidates(targets.home);
+        &candidates_by_domain.InDomain(targets.home);
     const bool adopted = candidates->empty();
     for (const common::DomainId substitute : targets.substitutes) {
-      candidates =
-          candidates->empty() ? &members.Candidates(substitute) : candidates;
+      candidates = candidates->empty()
+                       ? &candidates_by_domain.InDomain(substitute)
+                       : candidates;
     }
     const auto [first, second] =
-        FirstTwo(*candidates, subsets.HashOf(partition));
+        FindTopTwo(*candidates, subsets.HashOf(partition));
     this->owners.push_back({first, second, adopted});
   }
 }
@@ -116,8 +119,9 @@
   if (instance == nullptr || instance->use == InstanceUse::kSuspected) {
     return false;
   }
-  const auto& cut = this->view.unreachable;
-  return std::find(cut.begin(), cut.end(), instance->domain) == cut.end();
+  const auto& unreachable = this->view.unreachable;
+  return std::find(unreachable.begin(), unreachable.end(), instance->domain) ==
+         unreachable.end();
 }
 
 common::InstanceId OwnerMap::NextBeside(std::uint64_t partition_hash,
@@ -134,7 +138,7 @@
       leaving.push_back(instance.id);
     }
   }
-  return FirstTwo(owners.empty() ? leaving : owners, partition_hash).first;
+  return FindTopTwo(owners.empty() ? leaving : owners, partition_hash).first;
 }
 
 }  // namespace sassafrasdyke::core
--- a/source/core/placement/owner_map.h
+++ b/source/core/placement/owner_map.h
@@ -1,4 +1,4 @@
-/// Which instance decides about each partition.
+/// Assigns an owner and a standby instance to each partition.
 #pragma once
 
 #include <cstddef>
@@ -12,19 +12,20 @@
 
 namespace sassafrasdyke::core {
 
-/// Who answers for a partition.
+/// The instances responsible for a partition.
 struct PartitionOwners {
-  /// The first of the rendezvous order; 0 when no instance can own.
+  /// The instance with the highest rendezvous hash; 0 when none can own.
   common::InstanceId owner;
-  /// The second: exactly who inherits when the owner goes. 0 when there is
-  /// none.
+  /// The second highest: the one that becomes the owner when the present owner
+  /// goes. 0 when there is none.
   common::InstanceId standby;
-  /// The home domain can't be reached; this one stands in.
+  /// The home domain has no instance that can own; owner and standby belong to
+  /// a substitute domain.
   bool adopted{false};
 };
 
 /// Owner and standby of every partition, precomputed for one configuration and
-/// one view of the fleet.
+/// one fleet view.
 class OwnerMap {
  public:
   OwnerMap() = default;
@@ -35,13 +36,15 @@
   }
   bool Empty() const { return this->owners.empty(); }
 
-  /// Looks an instance up in the view this map was made from.
+  /// Returns the instance's entry in the map's fleet view, null when it has
+  /// none.
   const InstanceView* Find(common::InstanceId id) const;
 
-  /// Whether the instance is there and not confirmed silent.
+  /// Whether the instance is listed, not suspected, and in a reachable domain.
   bool IsAnswering(common::InstanceId id) const;
 
-  /// Who would own the partition in `domain` if this instance were not there.
+  /// The instance of `domain` that would own the partition without this one; 0
+  /// when there is none.
   common::InstanceId NextBeside(std::uint64_t partition_hash,
                                 common::DomainId domain) const;
 
--- a/source/core/placement/placement_policy.cc
+++ b/source/core/placement/placement_policy.cc
@@ -17,7 +17,7 @@
 const HashOnly kHashOnly;
 const LeastLoaded kLeastLoaded;
 
-/// A new policy is one file and one line here.
+/// Add an entry here to register a new policy.
 const std::array kRegistry{
     Registration{"hash-only", &kHashOnly},
     Registration{"least-loaded", &kLeastLoaded},
--- a/source/core/placement/placement_policy.h
+++ b/source/core/placement/placement_policy.h
@@ -1,4 +1,5 @@
-/// How a new flow's target is chosen among those that may take it.
+/// Interface and registry of the policies that choose a new flow's target among
+/// the usable ones.
 #pragma once
 
 #include <cstdint>
@@ -14,30 +15,31 @@
 /// A target that may take the flow.
 struct PlacementOption {
   TargetSlot slot;
-  /// Open flows that this instance keeps there, for a weight of 100.
+  /// This instance's open flows at the target, normalised to a weight of 100.
   double load{0};
 };
 
-/// A new flow that needs a target.
+/// The input of one placement decision.
 struct PlacementQuery {
   common::Fingerprint flow;
   /// Never empty; the first one is the partition's default.
   std::span<const PlacementOption> options;
-  /// Open flows by which the default must be busier before the flow leaves it.
+  /// How many more open flows than an alternative the default must have before
+  /// the flow is placed elsewhere.
   double deviate_by{0};
 };
 
-/// A way to choose. Implementations keep no state between calls, so that two
-/// instances with the same knowledge choose alike.
+/// A placement algorithm. Implementations are stateless, so that two instances
+/// with the same inputs choose the same target.
 class PlacementPolicy {
  public:
   virtual ~PlacementPolicy() = default;
 
-  /// Returns the position of the chosen option.
+  /// Returns the chosen option's index in `query.options`.
   virtual std::size_t Choose(const PlacementQuery& query) const = 0;
 };
 
-/// Finds a policy by its registered name; null when there is none.
+/// Returns the policy registered under `name`, null when there is none.
 const PlacementPolicy* FindPlacementPolicy(std::string_view name);
 
 /// The registered names, for checking a configuration.
--- a/source/core/placement/placer.cc
+++ b/source/core/placement/placer.cc
@@ -13,28 +13,30 @@
 
 constexpr std::uint64_t kRampSalt = 0x72616D70ULL;
 constexpr double kFullWeight = 100.0;
-constexpr std::size_t kMostOptions = 64;
+constexpr std::size_t kMaxOptions = 64;
 
-/// Why a target may not take a flow now.
+/// Why a target may not take a flow now, by severity.
 enum class Obstacle {
   kNone,
-  kRamp,     ///< Takes only a part of its flows yet.
-  kAvoided,  ///< Ejected, reported as shedding or failing, or in a domain
-             ///< without instances.
-  kClosed,   ///< Gone, draining, full or out of reach: never.
+  kRamp,      ///< In slow start, and the flow is not in its present share.
+  kAvoided,   ///< Ejected, reported as shedding or failing, or in a home domain
+              ///< without owners; used only as a last resort.
+  kUnusable,  ///< Removed, draining, of weight 0, full or unreachable: never
+              ///< used.
 };
 
-/// Which targets a search looks at.
-enum class Where {
-  kLocal,  ///< Those of this instance's failure domain.
+/// Which failure domains a search covers.
+enum class DomainScope {
+  kLocal,  ///< Only this instance's.
   kAnywhere,
 };
 
-/// The options of one choice, without allocation on the packet path.
+/// A fixed-capacity list of options: the packet path must not allocate. Options
+/// beyond the capacity are left out.
 class OptionList {
  public:
   void Add(TargetSlot slot, const TargetRecord& record) {
-    if (this->count == kMostOptions) {
+    if (this->count == kMaxOptions) {
       return;
     }
     const double weight = record.target.weight;
@@ -47,7 +49,7 @@
   }
 
  private:
-  std::array<PlacementOption, kMostOptions> options;
+  std::array<PlacementOption, kMaxOptions> options;
   std::size_t count{0};
 };
 
@@ -58,28 +60,29 @@
       : request(request),
         targets(targets),
         now(now),
-        distrusted(targets.ReportsDistrusted(request.service->id,
-                                             request.service->policy)) {}
+        ignore_health_reports(targets.TooManyReportedUnhealthy(
+            request.service->id, request.service->policy)) {}
 
   std::optional<Placement> Run() const {
-    const PartitionSubset& mine = this->request.targets;
+    const PartitionSubset& partition = this->request.targets;
     if (this->request.prefer_fallback && this->request.fallback != kNoSlot &&
         this->ObstacleOf(this->request.fallback) == Obstacle::kNone) {
       return Placement{this->request.fallback, PlacementReason::kDefault};
     }
-    if (const auto placed = this->Choose(mine, Obstacle::kNone)) {
+    if (const auto placed = this->Choose(partition, Obstacle::kNone)) {
       return placed;
     }
-    if (const auto placed = this->Choose(mine, Obstacle::kRamp)) {
+    if (const auto placed = this->Choose(partition, Obstacle::kRamp)) {
       return placed;
     }
-    for (const Where where : {Where::kLocal, Where::kAnywhere}) {
+    for (const DomainScope scope :
+         {DomainScope::kLocal, DomainScope::kAnywhere}) {
       if (const auto slot =
-              this->LeastOpen(mine.spill, Obstacle::kRamp, where)) {
+              this->FewestOpenFlows(partition.spill, Obstacle::kRamp, scope)) {
         return Placement{*slot, PlacementReason::kSpill};
       }
     }
-    return this->LastResort(mine);
+    return this->LastResort(partition);
   }
 
  private:
@@ -88,33 +91,36 @@
     if (record.gone || record.target.state != TargetState::kServing ||
         record.target.weight == 0 || record.open >= record.target.connections ||
         this->IsUnreachable(record.target.domain)) {
-      return Obstacle::kClosed;
+      return Obstacle::kUnusable;
     }
-    const bool reported_bad = record.health == TargetHealth::kShedding ||
-                              record.health == TargetHealth::kFailing;
-    // Reports that condemn most of a service are wrong or of no use: all the
-    // flows would crowd on the few targets that look well.
+    const bool reported_unhealthy = record.health == TargetHealth::kShedding ||
+                                    record.health == TargetHealth::kFailing;
+    // Health reports against too many targets of a service are ignored, as
+    // with a panic threshold: they are wrong, or following them would crowd all
+    // flows onto the few healthy targets.
     if (this->targets.IsEjected(slot, this->now) ||
-        this->IsInLostHome(record.target.domain) ||
-        (reported_bad && !this->distrusted)) {
+        this->IsInHomeWithoutOwners(record.target.domain) ||
+        (reported_unhealthy && !this->ignore_health_reports)) {
       return Obstacle::kAvoided;
     }
     return this->InRampShare(slot) ? Obstacle::kNone : Obstacle::kRamp;
   }
 
   bool IsUnreachable(common::DomainId domain) const {
-    const auto cut = this->request.unreachable;
-    return std::find(cut.begin(), cut.end(), domain) != cut.end();
+    const auto unreachable = this->request.unreachable;
+    return std::find(unreachable.begin(), unreachable.end(), domain) !=
+           unreachable.end();
   }
 
-  /// A failure domain that loses its power loses instances and targets at
-  /// once, and nobody is left there to say so of the targets. A flow sent to
-  /// one of them waits for an answer that never comes.
-  bool IsInLostHome(common::DomainId domain) const {
+  /// A power failure of a failure domain takes down instances and targets at
+  /// once, and no instance is left there to report the targets as failing. A
+  /// flow sent to one of them would wait for an answer that never comes.
+  bool IsInHomeWithoutOwners(common::DomainId domain) const {
     return this->request.adopted && domain == this->request.targets.home;
   }
 
-  /// A flow's hash decides, so that its repeated SYN meets the same answer.
+  /// Whether a target in slow start takes this flow. Derived from the flow's
+  /// hash, so that a retransmitted SYN gets the same result.
   bool InRampShare(TargetSlot slot) const {
     const double share = this->targets.RampShare(
         slot, this->request.service->policy.ramp, this->now);
@@ -127,13 +133,14 @@
     return std::ldexp(static_cast<double>(hash), -64) < share;
   }
 
-  std::optional<Placement> Choose(const PartitionSubset& mine,
+  std::optional<Placement> Choose(const PartitionSubset& partition,
                                   Obstacle tolerated) const {
     OptionList options;
-    this->Collect(mine.subset, tolerated, options);
-    // With half of the subset out of use the rest would carry twice its share.
-    if (2 * options.Size() < mine.subset.size()) {
-      this->Collect(mine.reserve, tolerated, options);
+    this->Collect(partition.subset, tolerated, options);
+    // With more than half of the subset unusable, the rest would carry more
+    // than twice its share.
+    if (2 * options.Size() < partition.subset.size()) {
+      this->Collect(partition.reserve, tolerated, options);
     }
     if (options.Size() == 0) {
       return std::nullopt;
@@ -145,7 +152,7 @@
         this->request.service->policy.deviate_by * this->request.reluctance};
     const std::size_t chosen = policy == nullptr ? 0 : policy->Choose(query);
     return Placement{options.All()[chosen].slot,
-                     this->ReasonFor(mine, options, chosen)};
+                     this->ReasonFor(partition, options, chosen)};
   }
 
   void Collect(std::span<const TargetSlot> slots, Obstacle tolerated,
@@ -157,7 +164,7 @@
     }
   }
 
-  PlacementReason ReasonFor(const PartitionSubset& mine,
+  PlacementReason ReasonFor(const PartitionSubset& partition,
                             const OptionList& options,
                             std::size_t chosen) const {
     if (chosen > 0) {
@@ -168,22 +175,23 @@
         this->targets.At(fallback).target.state == TargetState::kDraining) {
       return PlacementReason::kDraining;
     }
-    if (options.All()[0].slot == mine.subset[0]) {
+    if (options.All()[0].slot == partition.subset[0]) {
       return PlacementReason::kDefault;
     }
-    return this->ObstacleOf(mine.subset[0]) == Obstacle::kRamp
+    return this->ObstacleOf(partition.subset[0]) == Obstacle::kRamp
                ? PlacementReason::kRamp
                : PlacementReason::kEjected;
   }
 
-  std::optional<TargetSlot> LeastOpen(std::span<const TargetSlot> slots,
-                                      Obstacle tolerated, Where where) const {
+  std::optional<TargetSlot> FewestOpenFlows(std::span<const TargetSlot> slots,
+                                            Obstacle tolerated,
+                                            DomainScope scope) const {
     std::optional<TargetSlot> best;
     for (const TargetSlot slot : slots) {
       const TargetRecord& record = this->targets.At(slot);
-      const bool looked_at = where == Where::kAnywhere ||
-                             record.target.domain == this->request.local;
-      if (looked_at && this->ObstacleOf(slot) <= tolerated &&
+      const bool in_scope = scope == DomainScope::kAnywhere ||
+                            record.target.domain == this->request.local;
+      if (in_scope && this->ObstacleOf(slot) <= tolerated &&
           (!best || record.open < this->targets.At(*best).open)) {
         best = slot;
       }
@@ -191,12 +199,13 @@
     return best;
   }
 
-  /// Nothing looks well. A target that is only said to be bad may still serve,
-  /// and a refusal surely doesn't.
-  std::optional<Placement> LastResort(const PartitionSubset& mine) const {
-    for (const auto slots : {mine.subset, mine.reserve, mine.spill}) {
-      if (const auto slot =
-              this->LeastOpen(slots, Obstacle::kAvoided, Where::kAnywhere)) {
+  /// No target is considered usable. One that is ejected or reported unhealthy
+  /// may still serve; refusing the flow certainly doesn't.
+  std::optional<Placement> LastResort(const PartitionSubset& partition) const {
+    for (const auto slots :
+         {partition.subset, partition.reserve, partition.spill}) {
+      if (const auto slot = this->FewestOpenFlows(slots, Obstacle::kAvoided,
+                                                  DomainScope::kAnywhere)) {
         return Placement{*slot, PlacementReason::kEjected};
       }
     }
@@ -206,7 +215,7 @@
   const PlacementRequest& request;
   const TargetSet& targets;
   std::chrono::milliseconds now;
-  bool distrusted;
+  bool ignore_health_reports;
 };
 
 }  // namespace
--- a/source/core/placement/placer.h
+++ b/source/core/placement/placer.h
@@ -19,28 +19,30 @@
   PlacementReason reason{PlacementReason::kDefault};
 };
 
-/// A new flow in its surroundings.
+/// A new flow with the state its placement depends on.
 struct PlacementRequest {
   common::Fingerprint flow;
   const Service* service{nullptr};
   PartitionSubset targets;
-  /// Where flows without a record of the partition are presumed to be.
+  /// The target that the partition's flows without a record are sent to.
   TargetSlot fallback{kNoSlot};
-  /// The failure domain of this instance, preferred once the home can't serve.
+  /// This instance's failure domain; its targets are preferred once none of the
+  /// home domain can serve.
   common::DomainId local;
-  /// Failure domains whose targets can't be reached from here.
+  /// Failure domains whose targets this instance can't reach.
   std::span<const common::DomainId> unreachable;
-  /// The partition's home has no instance that owns, so its targets may be as
-  /// dead as those.
+  /// No instance of the partition's home domain can own it, so the domain's
+  /// targets may have failed with its instances.
   bool adopted{false};
-  /// Keep to the fallback as long as it takes flows: another instance may
-  /// believe that it owns the partition, and would look for the flow there.
+  /// Use the fallback as long as it accepts flows. Set while another instance
+  /// may also act as the partition's owner: it would send the flow there.
   bool prefer_fallback{false};
-  /// Factor on the service's threshold; grows as the copy budget is used up.
+  /// Multiplies the service's `deviate_by`; grows as the copy budget is used
+  /// up.
   double reluctance{1.0};
 };
 
-/// Nothing when no target of the service can take it.
+/// Places the flow; nothing when no target of the service can take it.
 std::optional<Placement> Place(const PlacementRequest& request,
                                const TargetSet& targets,
                                std::chrono::milliseconds now);
--- a/source/core/placement/service_directory.cc
+++ b/source/core/placement/service_directory.cc
@@ -10,7 +10,7 @@
 
 constexpr unsigned kHalfBits = 32;
 
-std::uint32_t PartitionsOf(const Service& service) {
+std::uint32_t PartitionCountOf(const Service& service) {
   return std::max<std::uint32_t>(1, service.policy.partitions);
 }
 
@@ -33,9 +33,10 @@
     this->by_id[service.id] = ServiceIndex{i};
     this->first_partition.push_back(
         static_cast<std::uint32_t>(this->keys.size()));
-    for (std::uint32_t number = 0; number < PartitionsOf(service); ++number) {
+    for (std::uint32_t number = 0; number < PartitionCountOf(service);
+         ++number) {
       this->keys.push_back({service.id, common::PartitionNumber{number}});
-      this->services_of.push_back(ServiceIndex{i});
+      this->service_by_partition.push_back(ServiceIndex{i});
     }
   }
 }
@@ -59,11 +60,11 @@
 
 PartitionIndex ServiceDirectory::PartitionOf(ServiceIndex service,
                                              common::Fingerprint flow) const {
-  // The upper half picks the partition, so that the lower half still spreads
-  // the flows of one partition over the buckets of the flow table.
+  // The upper half of the fingerprint selects the partition, so that the lower
+  // half still spreads one partition's flows over the flow table's buckets.
   const std::uint64_t upper = flow.value >> kHalfBits;
   const std::uint64_t number =
-      (upper * PartitionsOf(this->At(service))) >> kHalfBits;
+      (upper * PartitionCountOf(this->At(service))) >> kHalfBits;
   return PartitionIndex{this->first_partition[service.value] +
                         static_cast<std::uint32_t>(number)};
 }
@@ -71,7 +72,7 @@
 std::optional<PartitionIndex> ServiceDirectory::Find(
     const PartitionKey& key) const {
   const std::optional<ServiceIndex> service = this->Find(key.service);
-  if (!service || key.partition.value >= PartitionsOf(this->At(*service))) {
+  if (!service || key.partition.value >= PartitionCountOf(this->At(*service))) {
     return std::nullopt;
   }
   return PartitionIndex{this->first_partition[service->value] +
--- a/source/core/placement/service_directory.h
+++ b/source/core/placement/service_directory.h
@@ -1,4 +1,4 @@
-/// Finds the service and the partition of a packet.
+/// Maps packets to services and partitions.
 #pragma once
 
 #include <tsl/robin_map.h>
@@ -21,21 +21,21 @@
 /// revision of the configuration; never leaves the process.
 using PartitionIndex = common::Id<struct PartitionIndexTag>;
 
-/// Hashes an address and a port with the project's hash.
+/// Hashes an address and a port.
 struct EndpointHash {
   std::size_t operator()(const common::Endpoint& endpoint) const noexcept;
 };
 
-/// The services of one configuration, by address and by position.
+/// Indexes the services and partitions of one configuration.
 class ServiceDirectory {
  public:
   ServiceDirectory() = default;
   explicit ServiceDirectory(std::shared_ptr<const Configuration> configuration);
 
-  /// The service that callers reach at `address`.
+  /// The service that listens at `address`.
   std::optional<ServiceIndex> Find(const common::Endpoint& address) const;
 
-  /// The service with the published number `id`.
+  /// The service whose id in the configuration is `id`.
   std::optional<ServiceIndex> Find(common::ServiceId id) const;
 
   const Service& At(ServiceIndex index) const {
@@ -46,12 +46,13 @@
   PartitionIndex PartitionOf(ServiceIndex service,
                              common::Fingerprint flow) const;
 
+  /// The partition `key`; nothing when the configuration has none.
   std::optional<PartitionIndex> Find(const PartitionKey& key) const;
   const PartitionKey& KeyOf(PartitionIndex index) const {
     return this->keys[index.value];
   }
   ServiceIndex ServiceOf(PartitionIndex index) const {
-    return this->services_of[index.value];
+    return this->service_by_partition[index.value];
   }
   std::size_t PartitionCount() const { return this->keys.size(); }
 
@@ -59,10 +60,10 @@
   std::shared_ptr<const Configuration> configuration;
   tsl::robin_map<common::Endpoint, ServiceIndex, EndpointHash> by_address;
   tsl::robin_map<common::ServiceId, ServiceIndex> by_id;
-  /// The first partition of each service.
+  /// The index of each service's first partition.
   std::vector<std::uint32_t> first_partition;
   std::vector<PartitionKey> keys;
-  std::vector<ServiceIndex> services_of;
+  std::vector<ServiceIndex> service_by_partition;
 };
 
 }  // namespace sassafrasdyke::core
--- a/source/core/placement/subset_map.cc
+++ b/source/core/placement/subset_map.cc
@@ -10,13 +10,14 @@
 namespace sassafrasdyke::core {
 namespace {
 
-/// Keeps the choice of a domain apart from the choice of an instance.
+/// Different salts make the choice of a domain, of a target and of an instance
+/// independent of each other.
 constexpr std::uint64_t kDomainSalt = 0x646F6D61696EULL;
 constexpr std::uint64_t kTargetSalt = 0x746172676574ULL;
-constexpr std::uint32_t kLeastSubset = 4;
-constexpr std::uint32_t kMostSubset = 16;
-/// Subsets in which each target should at least appear.
-constexpr std::size_t kCoverage = 4;
+constexpr std::uint32_t kMinSubsetSize = 4;
+constexpr std::uint32_t kMaxSubsetSize = 16;
+/// Subsets in which each target should appear at least.
+constexpr std::size_t kMinSubsetsPerTarget = 4;
 
 struct Candidate {
   TargetSlot slot;
@@ -26,26 +27,28 @@
   bool serving{false};
 };
 
-struct Scored {
+struct ScoredCandidate {
   double score{0};
   const Candidate* candidate{nullptr};
 };
 
-/// How often a target was used so far, against what is fair.
-struct Coverage {
-  double fair_firsts{0};
-  double fair_total{0};
-  double firsts{0};
-  double total{0};
+/// How many subsets a target has been put into so far, and its fair share by
+/// weight: in first place, and in any place.
+struct TargetUsage {
+  double fair_first_places{0};
+  double fair_places{0};
+  double first_places{0};
+  double places{0};
 };
 
 using Candidates = std::vector<Candidate>;
-using CoverageBySlot = std::map<TargetSlot, Coverage>;
+using UsageBySlot = std::map<TargetSlot, TargetUsage>;
 
-/// Candidates by falling score, equal scores by id.
-std::vector<Scored> Rank(const std::vector<const Candidate*>& candidates,
-                         std::uint64_t partition_hash) {
-  std::vector<Scored> ranked;
+/// Candidates in descending order of score; ties are broken by id.
+std::vector<ScoredCandidate> Rank(
+    const std::vector<const Candidate*>& candidates,
+    std::uint64_t partition_hash) {
+  std::vector<ScoredCandidate> ranked;
   ranked.reserve(candidates.size());
   for (const Candidate* const candidate : candidates) {
     const std::uint64_t hash =
@@ -53,10 +56,11 @@
     ranked.push_back(
         {common::RendezvousScore(hash, candidate->weight), candidate});
   }
-  std::sort(ranked.begin(), ranked.end(), [](const Scored& a, const Scored& b) {
-    return a.score != b.score ? a.score > b.score
-                              : a.candidate->id < b.candidate->id;
-  });
+  std::sort(ranked.begin(), ranked.end(),
+            [](const ScoredCandidate& a, const ScoredCandidate& b) {
+              return a.score != b.score ? a.score > b.score
+                                        : a.candidate->id < b.candidate->id;
+            });
   return ranked;
 }
 
@@ -66,15 +70,15 @@
   }
   const std::size_t partitions = std::max<std::size_t>(1, policy.partitions);
   const std::size_t derived =
-      (kCoverage * targets + partitions - 1) / partitions;
+      (kMinSubsetsPerTarget * targets + partitions - 1) / partitions;
   const auto bounded =
-      std::clamp<std::size_t>(derived, kLeastSubset, kMostSubset);
+      std::clamp<std::size_t>(derived, kMinSubsetSize, kMaxSubsetSize);
   return std::min(bounded, targets);
 }
 
-/// All domains, best home of the partition first. Those without targets of the
-/// service (capacity 0) come last: their instances stand in only when the
-/// domains that serve it have nobody left.
+/// All domains, the best home of the partition first. Those without targets of
+/// the service (capacity 0) come last: their instances take over only when no
+/// domain with targets has an instance left.
 std::vector<common::DomainId> RankDomains(
     const std::map<common::DomainId, double>& capacities,
     std::uint64_t partition_hash) {
@@ -95,44 +99,47 @@
   return ranked;
 }
 
-/// Moves targets that are used more than is fair behind the others. Plain
-/// hashing over few partitions leaves some targets first in three partitions
-/// and others in none; their load differs as much, however well an owner
-/// chooses inside its subset.
-void EvenOut(std::vector<Scored>& ranked, std::size_t size,
-             CoverageBySlot& coverage) {
+/// Moves targets that already have their fair share of subsets behind the
+/// others. Plain rendezvous hashing over few partitions puts some targets first
+/// in three partitions and others in none; their load differs as much, however
+/// well an owner chooses inside its subset.
+void BalanceSubsets(std::vector<ScoredCandidate>& ranked, std::size_t size,
+                    UsageBySlot& usage_by_slot) {
   const auto first = std::find_if(
-      ranked.begin(), ranked.end(), [&coverage](const Scored& scored) {
-        const Coverage& used = coverage[scored.candidate->slot];
-        return used.firsts + 1.0 <= std::ceil(used.fair_firsts);
+      ranked.begin(), ranked.end(),
+      [&usage_by_slot](const ScoredCandidate& scored) {
+        const TargetUsage& usage = usage_by_slot[scored.candidate->slot];
+        return usage.first_places + 1.0 <= std::ceil(usage.fair_first_places);
       });
   if (first != ranked.end()) {
     std::rotate(ranked.begin(), first, first + 1);
   }
   if (ranked.size() > size) {
     std::stable_partition(
-        ranked.begin() + 1, ranked.end(), [&coverage](const Scored& scored) {
-          const Coverage& used = coverage[scored.candidate->slot];
-          return used.total + 1.0 <= std::ceil(used.fair_total);
+        ranked.begin() + 1, ranked.end(),
+        [&usage_by_slot](const ScoredCandidate& scored) {
+          const TargetUsage& usage = usage_by_slot[scored.candidate->slot];
+          return usage.places + 1.0 <= std::ceil(usage.fair_places);
         });
   }
   for (std::size_t i = 0; i < std::min(size, ranked.size()); ++i) {
-    Coverage& used = coverage[ranked[i].candidate->slot];
-    used.firsts += i == 0 ? 1.0 : 0.0;
-    used.total += 1.0;
+    TargetUsage& usage = usage_by_slot[ranked[i].candidate->slot];
+    usage.first_places += i == 0 ? 1.0 : 0.0;
+    usage.places += 1.0;
   }
 }
 
-/// All published targets of one service, with what the rows below need.
+/// All published targets of one service, and its total weight in each domain.
 struct ServiceTargets {
   Candidates all;
   std::map<common::DomainId, double> capacities;
 
+  /// The serving targets of the home domain, or those of all others.
   std::vector<const Candidate*> Serving(common::DomainId home,
-                                        bool inside) const {
+                                        bool in_home) const {
     std::vector<const Candidate*> chosen;
     for (const Candidate& candidate : this->all) {
-      if (candidate.serving && (candidate.domain == home) == inside) {
+      if (candidate.serving && (candidate.domain == home) == in_home) {
         chosen.push_back(&candidate);
       }
     }
@@ -140,16 +147,17 @@
   }
 };
 
-/// The best targets of each other domain, so that whoever stands in for the
-/// home finds some that it can reach.
-std::vector<Scored> Outside(const ServiceTargets& group, common::DomainId home,
-                            std::uint64_t partition_hash,
-                            std::size_t most_per_domain) {
-  std::vector<Scored> chosen;
+/// The best targets of each other domain, so that an owner in a substitute
+/// domain has some that it can reach.
+std::vector<ScoredCandidate> RankSpillTargets(const ServiceTargets& group,
+                                              common::DomainId home,
+                                              std::uint64_t partition_hash,
+                                              std::size_t max_per_domain) {
+  std::vector<ScoredCandidate> chosen;
   std::map<common::DomainId, std::size_t> counts;
-  for (const Scored& scored :
+  for (const ScoredCandidate& scored :
        Rank(group.Serving(home, false), partition_hash)) {
-    if (++counts[scored.candidate->domain] <= most_per_domain) {
+    if (++counts[scored.candidate->domain] <= max_per_domain) {
       chosen.push_back(scored);
     }
   }
@@ -166,8 +174,9 @@
     }
     ServiceTargets& group = groups[target.service];
     const double weight = target.weight;
-    // Draining targets count here: else a drain of a whole domain would move
-    // its partitions, and with them the owner of the flows that still run.
+    // Draining targets count too: otherwise draining a whole domain would
+    // change the home of its partitions, and with it the owner of flows that
+    // are still open.
     group.capacities[target.domain] += weight;
     group.all.push_back({*slot, target.id, target.domain, weight,
                          target.state == TargetState::kServing});
@@ -196,34 +205,34 @@
     entry.hash = common::HashNumbers(key.service.value, key.partition.value,
                                      configuration.hash_seed);
     const auto group = groups.find(key.service);
-    const bool spread = fleet_wide && group != groups.end();
+    const bool ranks_domains = fleet_wide && group != groups.end();
     const std::vector<common::DomainId> ranked =
-        spread ? RankDomains(group->second.capacities, entry.hash)
-               : std::vector{self};
+        ranks_domains ? RankDomains(group->second.capacities, entry.hash)
+                      : std::vector{self};
     entry.first_domain = static_cast<std::uint32_t>(this->domains.size());
     entry.domains = static_cast<std::uint32_t>(ranked.size());
     this->domains.insert(this->domains.end(), ranked.begin(), ranked.end());
     homes[key.service][ranked.front()] += 1.0;
   }
 
-  std::map<common::ServiceId, CoverageBySlot> coverages;
+  std::map<common::ServiceId, UsageBySlot> usage_by_service;
   for (const auto& [service, group] : groups) {
     for (const auto& [home, partitions] : homes[service]) {
-      const auto inside = group.Serving(home, true);
-      double total = 0;
-      for (const Candidate* const candidate : inside) {
-        total += candidate->weight;
+      const auto home_targets = group.Serving(home, true);
+      double total_weight = 0;
+      for (const Candidate* const candidate : home_targets) {
+        total_weight += candidate->weight;
       }
       const std::optional<ServiceIndex> index = directory.Find(service);
       if (!index) {
         continue;
       }
       const auto size = static_cast<double>(
-          SubsetSize(directory.At(*index).policy, inside.size()));
-      for (const Candidate* const candidate : inside) {
-        const double share = candidate->weight / total;
-        coverages[service][candidate->slot] = {share * partitions,
-                                               share * partitions * size};
+          SubsetSize(directory.At(*index).policy, home_targets.size()));
+      for (const Candidate* const candidate : home_targets) {
+        const double share = candidate->weight / total_weight;
+        usage_by_service[service][candidate->slot] = {
+            share * partitions, share * partitions * size};
       }
     }
   }
@@ -238,22 +247,22 @@
     if (group == groups.end()) {
       continue;
     }
-    auto inside = Rank(group->second.Serving(home, true), entry.hash);
-    const std::size_t size = SubsetSize(service.policy, inside.size());
-    EvenOut(inside, size, coverages[service.id]);
-    const std::vector<Scored> outside =
+    auto home_targets = Rank(group->second.Serving(home, true), entry.hash);
+    const std::size_t size = SubsetSize(service.policy, home_targets.size());
+    BalanceSubsets(home_targets, size, usage_by_service[service.id]);
+    const std::vector<ScoredCandidate> spill_targets =
         service.policy.spill
-            ? Outside(group->second, home, entry.hash,
-                      std::max<std::size_t>(size, kLeastSubset))
-            : std::vector<Scored>{};
+            ? RankSpillTargets(group->second, home, entry.hash,
+                               std::max<std::size_t>(size, kMinSubsetSize))
+            : std::vector<ScoredCandidate>{};
     entry.subset = static_cast<std::uint32_t>(size);
-    entry.reserve =
-        static_cast<std::uint32_t>(std::min(inside.size(), 2 * size) - size);
-    entry.spill = static_cast<std::uint32_t>(outside.size());
+    entry.reserve = static_cast<std::uint32_t>(
+        std::min(home_targets.size(), 2 * size) - size);
+    entry.spill = static_cast<std::uint32_t>(spill_targets.size());
     for (std::size_t k = 0; k < entry.subset + entry.reserve; ++k) {
-      this->slots.push_back(inside[k].candidate->slot);
+      this->slots.push_back(home_targets[k].candidate->slot);
     }
-    for (const Scored& scored : outside) {
+    for (const ScoredCandidate& scored : spill_targets) {
       this->slots.push_back(scored.candidate->slot);
     }
   }
--- a/source/core/placement/subset_map.h
+++ b/source/core/placement/subset_map.h
@@ -1,4 +1,5 @@
-/// The targets that each partition may use, from the configuration alone.
+/// Assigns each partition the targets it may use (subsetting), from the
+/// configuration alone.
 #pragma once
 
 #include <cstddef>
@@ -14,12 +15,13 @@
 namespace sassafrasdyke::core {
 
 /// The targets of one partition, most preferred first: the subset, then a
-/// reserve of the home domain for when much of the subset can't serve, then
-/// other domains' targets for when none of the home domain can.
+/// reserve in the home domain for when much of the subset can't serve, then
+/// targets of other domains for when no target of the home domain can.
 struct PartitionSubset {
   common::DomainId home;
-  /// Who stands in for the home while it can't be reached, in order; all
-  /// instances that reach each other agree on it.
+  /// The domains that take over from the home while it has no instance that
+  /// can own, in order of preference. Instances that reach each other agree on
+  /// it.
   std::span<const common::DomainId> substitutes;
   std::span<const TargetSlot> subset;
   std::span<const TargetSlot> reserve;
@@ -27,25 +29,27 @@
 };
 
 /// Precomputed subsets of all partitions. They don't depend on which instances
-/// live, so that a change of instances moves no flow's default target.
+/// are alive, so that a change of instances changes no flow's default target.
 class SubsetMap {
  public:
   SubsetMap() = default;
 
   /// `self` is this instance's failure domain: the home of every partition when
-  /// the fabric stays inside a domain.
+  /// the fabric scope is one domain.
   SubsetMap(const Configuration& configuration,
             const ServiceDirectory& directory, const TargetSet& targets,
             common::DomainId self);
 
   PartitionSubset At(PartitionIndex partition) const;
 
-  /// A hash that stands for the partition wherever instances must agree.
+  /// The hash that identifies the partition in every choice on which instances
+  /// must agree.
   std::uint64_t HashOf(PartitionIndex partition) const {
     return this->entries[partition.value].hash;
   }
 
  private:
+  /// One partition's ranges of `domains` and `slots`.
   struct Entry {
     std::uint64_t hash{0};
     std::uint32_t first_domain{0};
--- a/source/core/placement/target_set.cc
+++ b/source/core/placement/target_set.cc
@@ -5,24 +5,25 @@
 namespace sassafrasdyke::core {
 namespace {
 
-/// Flows in a row whose SYN got no answer before a target is ejected. One or
+/// Consecutive flows with an unanswered SYN before a target is ejected. One or
 /// two may be callers that went away.
-constexpr std::uint32_t kUnansweredToEject = 3;
-constexpr std::chrono::milliseconds kFirstEjection{std::chrono::seconds{10}};
-constexpr std::uint32_t kMostDoublings = 5;
+constexpr std::uint32_t kUnansweredSynsToEject = 3;
+constexpr std::chrono::milliseconds kFirstEjectionTime{
+    std::chrono::seconds{10}};
+constexpr std::uint32_t kMaxEjectionDoublings = 5;
 constexpr std::uint32_t kPercent = 100;
-/// A ramp starts here, else a target that nobody uses could never show that it
-/// works.
-constexpr double kLeastShare = 0.1;
-
-/// Whether a published target is still the one a life stands for. The same
-/// number under another service or tunnel is another target: flows of the old
-/// one must never reach it.
-bool SameLife(const Target& before, const Target& after) {
+/// Slow start begins at this share: with none, a target would get no flow to
+/// prove that it works.
+constexpr double kMinRampShare = 0.1;
+
+/// Whether a published target is the one a record was made for. The same id
+/// under another service or tunnel is another target: flows of the old one must
+/// never reach it.
+bool IsSameTarget(const Target& before, const Target& after) {
   return before.service == after.service && before.tunnel == after.tunnel;
 }
 
-bool IsBad(TargetHealth health) {
+bool IsUnhealthy(TargetHealth health) {
   return health == TargetHealth::kFailing || health == TargetHealth::kShedding;
 }
 
@@ -35,62 +36,62 @@
   std::swap(before, this->by_id);
   for (const Target& target : configuration.targets) {
     const auto old = before.find(target.id);
-    const bool lives_on =
+    const bool is_same =
         old != before.end() &&
-        SameLife(this->records[old->second.value].target, target);
-    if (!lives_on) {
-      this->by_id[target.id] = this->NewLife(target, !first, now);
+        IsSameTarget(this->records[old->second.value].target, target);
+    if (!is_same) {
+      this->by_id[target.id] = this->AddRecord(target, !first, now);
       continue;
     }
     TargetRecord& record = this->records[old->second.value];
-    const bool returns = record.target.state == TargetState::kDraining &&
+    const bool resumes = record.target.state == TargetState::kDraining &&
                          target.state == TargetState::kServing;
     record.target = target;
-    record.ramp_from = returns ? now : record.ramp_from;
+    record.ramp_start = resumes ? now : record.ramp_start;
     this->by_id[target.id] = old->second;
     before.erase(old);
   }
   for (const auto& [id, slot] : before) {
-    this->EndLife(slot);
+    this->RetireRecord(slot);
   }
-  this->CountServices();
+  this->RebuildServiceCounts();
 }
 
-TargetSlot TargetSet::NewLife(const Target& target, bool ramp,
-                              std::chrono::milliseconds now) {
-  const TargetSlot slot = this->FreeSlot();
+TargetSlot TargetSet::AddRecord(const Target& target, bool ramp,
+                                std::chrono::milliseconds now) {
+  const TargetSlot slot = this->AllocateSlot();
   TargetRecord& record = this->records[slot.value];
   record = TargetRecord{.target = target};
-  record.ramp_from = ramp ? now : record.ramp_from;
+  record.ramp_start = ramp ? now : record.ramp_start;
   return slot;
 }
 
-TargetSlot TargetSet::FreeSlot() {
-  if (!this->free.empty()) {
-    const TargetSlot slot = this->free.back();
-    this->free.pop_back();
+TargetSlot TargetSet::AllocateSlot() {
+  if (!this->free_slots.empty()) {
+    const TargetSlot slot = this->free_slots.back();
+    this->free_slots.pop_back();
     return slot;
   }
   this->records.emplace_back();
   return TargetSlot{static_cast<std::uint32_t>(this->records.size() - 1)};
 }
 
-void TargetSet::EndLife(TargetSlot slot) {
+void TargetSet::RetireRecord(TargetSlot slot) {
   TargetRecord& record = this->records[slot.value];
   record.gone = true;
-  // A slot that flows still refer to must not become another target.
+  // A slot that flows still refer to must not be reused for another target.
   if (record.open == 0) {
-    this->free.push_back(slot);
+    this->free_slots.push_back(slot);
   }
 }
 
-void TargetSet::CountServices() {
+void TargetSet::RebuildServiceCounts() {
   this->services.clear();
   for (const auto& [id, slot] : this->by_id) {
     const TargetRecord& record = this->records[slot.value];
     ServiceCounts& counts = this->services[record.target.service];
     ++counts.targets;
-    counts.reported_bad += IsBad(record.health) ? 1 : 0;
+    counts.reported_unhealthy += IsUnhealthy(record.health) ? 1 : 0;
     counts.slots.push_back(slot);
   }
 }
@@ -106,16 +107,16 @@
     return;
   }
   ServiceCounts& counts = this->services[record.target.service];
-  const bool was_bad = IsBad(record.health);
-  const bool is_bad = IsBad(change.health);
+  const bool was_unhealthy = IsUnhealthy(record.health);
+  const bool is_unhealthy = IsUnhealthy(change.health);
   record.health_version = change.version;
   record.health = change.health;
-  if (was_bad && !is_bad) {
-    --counts.reported_bad;
-    record.ramp_from = now;
+  if (was_unhealthy && !is_unhealthy) {
+    --counts.reported_unhealthy;
+    record.ramp_start = now;
   }
-  if (!was_bad && is_bad) {
-    ++counts.reported_bad;
+  if (!was_unhealthy && is_unhealthy) {
+    ++counts.reported_unhealthy;
   }
 }
 
@@ -135,7 +136,7 @@
   TargetRecord& record = this->records[slot.value];
   --record.open;
   if (record.gone && record.open == 0) {
-    this->free.push_back(slot);
+    this->free_slots.push_back(slot);
   }
 }
 
@@ -150,21 +151,23 @@
                              std::chrono::milliseconds now) {
   TargetRecord& record = this->records[slot.value];
   ++record.unanswered;
-  if (record.gone || record.unanswered < kUnansweredToEject ||
+  if (record.gone || record.unanswered < kUnansweredSynsToEject ||
       this->IsEjected(slot, now)) {
     return;
   }
-  // A fault on this instance's own path makes every target look dead. Without
-  // the bound it would eject them all and refuse callers whom others serve.
+  // A fault on this instance's own network path makes every target look dead.
+  // Without the limit it would eject them all and refuse callers that other
+  // instances could serve.
   const common::ServiceId service = record.target.service;
   const std::uint32_t limit =
       this->services[service].targets * policy.eject_share_percent / kPercent;
-  if (this->EjectedOf(service, now) >= limit) {
+  if (this->CountEjected(service, now) >= limit) {
     return;
   }
-  const std::uint32_t doublings = std::min(record.ejections, kMostDoublings);
-  record.ejected_until = now + kFirstEjection * (1U << doublings);
-  record.ramp_from = record.ejected_until;
+  const std::uint32_t doublings =
+      std::min(record.ejections, kMaxEjectionDoublings);
+  record.ejected_until = now + kFirstEjectionTime * (1U << doublings);
+  record.ramp_start = record.ejected_until;
   record.unanswered = 0;
   ++record.ejections;
 }
@@ -174,8 +177,8 @@
   return now < this->records[slot.value].ejected_until;
 }
 
-std::uint32_t TargetSet::EjectedOf(common::ServiceId service,
-                                   std::chrono::milliseconds now) const {
+std::uint32_t TargetSet::CountEjected(common::ServiceId service,
+                                      std::chrono::milliseconds now) const {
   const auto found = this->services.find(service);
   if (found == this->services.end()) {
     return 0;
@@ -186,26 +189,26 @@
       [this, now](TargetSlot slot) { return this->IsEjected(slot, now); }));
 }
 
-bool TargetSet::ReportsDistrusted(common::ServiceId service,
-                                  const ServicePolicy& policy) const {
+bool TargetSet::TooManyReportedUnhealthy(common::ServiceId service,
+                                         const ServicePolicy& policy) const {
   const auto found = this->services.find(service);
   if (found == this->services.end()) {
     return false;
   }
   const ServiceCounts& counts = found->second;
-  return counts.reported_bad * kPercent >
+  return counts.reported_unhealthy * kPercent >
          counts.targets * policy.eject_share_percent;
 }
 
 double TargetSet::RampShare(TargetSlot slot, std::chrono::milliseconds ramp,
                             std::chrono::milliseconds now) const {
-  const std::chrono::milliseconds from = this->records[slot.value].ramp_from;
+  const std::chrono::milliseconds from = this->records[slot.value].ramp_start;
   if (from.count() < 0 || ramp.count() <= 0 || now >= from + ramp) {
     return 1.0;
   }
   const double passed = static_cast<double>((now - from).count()) /
                         static_cast<double>(ramp.count());
-  return std::max(kLeastShare, passed);
+  return std::max(kMinRampShare, passed);
 }
 
 }  // namespace sassafrasdyke::core
--- a/source/core/placement/target_slot.h
+++ b/source/core/placement/target_slot.h
@@ -1,13 +1,14 @@
-/// Names one life of a target inside one process.
+/// The process-local index of a target's record.
 #pragma once
 
 #include "common/ids.h"
 
 namespace sassafrasdyke::core {
 
-/// One target from its publication until it is removed, or published anew with
-/// another service or tunnel. A target id that comes back is another life, so
-/// whatever still refers to the old one can tell. Never leaves the process.
+/// Identifies a target from its publication until it is removed, or its id is
+/// published with another service or tunnel. A target id that is published
+/// again gets another slot, as long as flows refer to the old one, so the two
+/// are told apart. Never leaves the process.
 using TargetSlot = common::Id<struct TargetSlotTag>;
 
 /// No target.
