--- a/bench/fleet/fleet_bench.cc
+++ b/bench/fleet/fleet_bench.cc
@@ -212,7 +212,7 @@
   const milliseconds killed = network.Now();
   network.Kill(id);
   SpreadTimes spread;
-  while (!network.AllBelieve(id, InstanceUse::kSuspected)) {
+  while (!network.AllSee(id, InstanceUse::kSuspected)) {
     network.RunFor(kStep);
     if (network.Now() - killed > kLongestRestart) {
       ++spread.missing;
--- a/source/app/control_task.cc
+++ b/source/app/control_task.cc
@@ -176,7 +176,7 @@
                                 const core::PeerMessage& message) {
   const bool for_flows = std::visit(
       []<typename Message>(const Message& /*message*/) {
-        return core::kIsForFlows<Message>;
+        return core::kIsFlowMessage<Message>;
       },
       message);
   if (for_flows) {
--- a/source/core/fleet/backoff.cc
+++ b/source/core/fleet/backoff.cc
@@ -5,16 +5,16 @@
 namespace sassafrasdyke::core {
 namespace {
 
-/// Keeps the doubling inside the range of the type.
-constexpr unsigned kMostDoublings = 16;
+/// Keeps the shifted wait from overflowing.
+constexpr unsigned kMaxDoublings = 16;
 
 }  // namespace
 
 std::chrono::milliseconds Backoff::OnFailure(Jitter& jitter) {
-  const unsigned doublings = std::min(this->failures, kMostDoublings);
+  const unsigned doublings = std::min(this->failures, kMaxDoublings);
   ++this->failures;
-  // Instances that lost the same peer at the same moment would otherwise come
-  // back together, again and again, and overload the next peer.
+  // Without jitter, instances that lost the same peer at the same moment would
+  // retry together, again and again, and overload the next peer.
   return jitter.UpTo(
       std::min(this->limits.longest, this->limits.first * (1U << doublings)));
 }
--- a/source/core/fleet/backoff.h
+++ b/source/core/fleet/backoff.h
@@ -1,4 +1,4 @@
-/// Waits between repeated attempts: exponential, with full jitter.
+/// Exponential back-off with full jitter.
 #pragma once
 
 #include <chrono>
@@ -13,7 +13,7 @@
   std::chrono::milliseconds longest{std::chrono::seconds{10}};
 };
 
-/// One series of attempts.
+/// The back-off of one series of attempts.
 class Backoff {
  public:
   explicit Backoff(BackoffLimits limits) : limits(limits) {}
--- a/source/core/fleet/turn.h
+++ b/source/core/fleet/call_context.h
@@ -1,4 +1,4 @@
-/// One call into the fleet: its time, and where its results go.
+/// The context of one call into the fleet: its time, and where its results go.
 #pragma once
 
 #include <chrono>
@@ -9,13 +9,13 @@
 
 namespace sassafrasdyke::core {
 
-/// Lives for one call.
-struct Turn {
+/// Passed down through one call; not kept after it.
+struct CallContext {
   std::chrono::milliseconds now;
   FleetOutbox& outbox;
   SendLimiter& limiter;
 
-  /// False when the budget dropped the message.
+  /// Sends or queues `message`; false when the budget dropped it.
   bool Send(common::InstanceId to, PeerMessage message) const {
     return this->limiter.Send({to, std::move(message)}, this->now,
                               this->outbox.messages);
--- a/source/core/fleet/document_digest.cc
+++ b/source/core/fleet/document_digest.cc
@@ -10,8 +10,8 @@
 }  // namespace
 
 std::uint64_t HashOfEntry(const DocumentEntry& entry) {
-  // The path's hash seeds the body's, so that text moved over the border
-  // between path and body gives another value.
+  // The path's hash seeds the body's, so that moving text from the end of the
+  // path to the start of the body changes the hash.
   const std::uint64_t path =
       common::HashBytes(entry.path.data(), entry.path.size(), kPathSeed);
   return common::HashBytes(entry.body.data(), entry.body.size(), path);
--- a/source/core/fleet/document_digest.h
+++ b/source/core/fleet/document_digest.h
@@ -8,11 +8,11 @@
 
 namespace sassafrasdyke::core {
 
-/// Hashes one entry: path and body, with the border between them.
+/// Hashes one entry: path, body and where one ends and the other begins.
 std::uint64_t HashOfEntry(const DocumentEntry& entry);
 
-/// The sum of the entries' hashes. A sum, so that a small change of a large
-/// document costs only the changed entries.
+/// The sum of the entries' hashes. A sum can be updated for a change by hashing
+/// only the changed entries.
 std::uint64_t DigestOfEntries(const std::vector<DocumentEntry>& entries);
 
 }  // namespace sassafrasdyke::core
--- a/source/core/fleet/document_exchange.cc
+++ b/source/core/fleet/document_exchange.cc
@@ -9,12 +9,13 @@
 namespace sassafrasdyke::core {
 namespace {
 
-/// Longest wait for an answer; a whole copy over a poor link takes this long.
-constexpr std::chrono::milliseconds kAnswerDeadline{1500};
-/// Larger changes are announced, so that a peer fetches them from one neighbour
-/// and isn't sent them by all.
-constexpr std::size_t kLargestPush = 4096;
-constexpr std::chrono::milliseconds kQuietForRetry{std::chrono::seconds{5}};
+/// Timeout of a request; a whole copy over a slow link takes this long.
+constexpr std::chrono::milliseconds kRequestTimeout{1500};
+/// Bytes of the largest delta that is pushed. Larger ones are only announced by
+/// digest: a peer then fetches them from one neighbour, rather than getting
+/// them from all.
+constexpr std::size_t kMaxPushBytes = 4096;
+constexpr std::chrono::milliseconds kRetryEarnInterval{std::chrono::seconds{5}};
 
 std::size_t IndexOf(DocumentKind kind) {
   return kind == DocumentKind::kConfiguration ? 0 : 1;
@@ -35,84 +36,86 @@
 
 void DocumentExchange::OnDigests(common::InstanceId peer,
                                  const std::vector<DocumentDigest>& digests,
-                                 const Turn& turn) {
+                                 const CallContext& context) {
   for (const DocumentDigest& theirs : digests) {
-    this->Learn(peer, theirs);
+    this->SetKnown(peer, theirs);
     const DocumentDigest& ours = this->documents.Store(theirs.kind).Digest();
     if (theirs.revision == ours.revision && theirs.digest != ours.digest) {
       ++this->counts.digest_conflicts;
     }
-    const Search& search = this->searches[IndexOf(theirs.kind)];
-    if (this->Newer(theirs) && !search.asked && turn.now >= search.not_before) {
+    const Fetch& fetch = this->fetches[IndexOf(theirs.kind)];
+    if (this->IsNewer(theirs) && !fetch.peer &&
+        context.now >= fetch.not_before) {
       this->retries.OnRequest();
-      this->Ask(peer, ours, turn);
+      this->SendRequest(peer, ours, context);
     }
   }
 }
 
 bool DocumentExchange::OnDelta(common::InstanceId peer,
-                               const DocumentDelta& delta, const Turn& turn) {
-  this->Learn(peer, {delta.kind, delta.to, delta.digest});
+                               const DocumentDelta& delta,
+                               const CallContext& context) {
+  this->SetKnown(peer, {delta.kind, delta.to, delta.digest});
   if (this->documents.Refused({delta.kind, delta.to, delta.digest})) {
     return false;
   }
   const DocumentStore& store = this->documents.Store(delta.kind);
   auto next = store.Apply(delta);
   if (next) {
-    return this->Finish(
-        this->documents.Offer(std::move(*next), peer, turn.outbox), delta.kind,
-        turn);
+    return this->EndFetch(
+        this->documents.Offer(std::move(*next), peer, context.outbox),
+        delta.kind, context);
   }
   if (next.error() == DeltaRefusal::kOlder) {
     return false;
   }
   ++this->counts.deltas_refused;
-  Search& search = this->searches[IndexOf(delta.kind)];
+  Fetch& fetch = this->fetches[IndexOf(delta.kind)];
   const bool wrong_text = next.error() == DeltaRefusal::kWrongDigest;
-  // The text here may be the wrong one, so a delta from it can't help.
+  // The content here may be the wrong one, so the whole copy is requested.
   const DocumentDigest have =
       wrong_text ? DocumentDigest{delta.kind, {}, 0} : store.Digest();
-  if (!search.asked || wrong_text) {
+  if (!fetch.peer || wrong_text) {
     this->retries.OnRequest();
-    this->Ask(peer, have, turn);
+    this->SendRequest(peer, have, context);
   }
   return false;
 }
 
 bool DocumentExchange::OnCopy(common::InstanceId peer, const DocumentCopy& copy,
-                              const Turn& turn) {
+                              const CallContext& context) {
   const Document& document = copy.document;
   if (DigestOfEntries(document.entries) != copy.digest) {
     ++this->counts.deltas_refused;
     return false;
   }
-  this->Learn(peer, {document.kind, document.revision, copy.digest});
+  this->SetKnown(peer, {document.kind, document.revision, copy.digest});
   if (this->documents.Refused(
           {document.kind, document.revision, copy.digest})) {
     return false;
   }
-  return this->Finish(this->documents.Offer(document, peer, turn.outbox),
-                      document.kind, turn);
+  return this->EndFetch(this->documents.Offer(document, peer, context.outbox),
+                        document.kind, context);
 }
 
 void DocumentExchange::OnRequest(common::InstanceId peer,
                                  const DocumentRequest& request,
-                                 const Turn& turn) {
+                                 const CallContext& context) {
   const DocumentStore& store = this->documents.Store(request.kind);
   if (store.Digest().revision.value <= request.have.revision.value) {
     return;
   }
   const bool sent =
-      std::visit([&](const auto& answer) { return turn.Send(peer, answer); },
+      std::visit([&](const auto& answer) { return context.Send(peer, answer); },
                  store.AnswerFor(request.have));
-  this->Learn(peer, sent ? store.Digest() : request.have);
+  this->SetKnown(peer, sent ? store.Digest() : request.have);
   if (!sent) {
-    this->Owe(peer, request.kind);
+    this->DeferPush(peer, request.kind);
   }
 }
 
 bool DocumentExchange::Push(common::InstanceId peer, DocumentKind kind,
-                            const Turn& turn) {
+                            const CallContext& context) {
   const DocumentDigest theirs = this->KnownOf(peer, kind);
   const DocumentStore& store = this->documents.Store(kind);
   if (theirs.revision.value >= store.Digest().revision.value) {
@@ -123,34 +126,34 @@
   }
   DocumentAnswer answer = store.AnswerFor(theirs);
   auto* delta = std::get_if<DocumentDelta>(&answer);
-  if (delta == nullptr || EstimatedBytes(*delta) > kLargestPush) {
+  if (delta == nullptr || EstimatedBytes(*delta) > kMaxPushBytes) {
     return false;
   }
-  if (!turn.Send(peer, std::move(*delta))) {
-    this->Owe(peer, kind);
+  if (!context.Send(peer, std::move(*delta))) {
+    this->DeferPush(peer, kind);
     return true;
   }
-  // Believed until its next digest says otherwise; a second change that follows
-  // at once is then sent as a step from this one.
-  this->Learn(peer, store.Digest());
+  // Assumes that the delta arrives, until the peer's next digest; a second
+  // change soon afterwards is then sent as a delta from this revision.
+  this->SetKnown(peer, store.Digest());
   return true;
 }
 
-void DocumentExchange::OnTick(const Turn& turn) {
-  this->PushOwed(turn);
-  if (turn.now - this->quiet_since > kQuietForRetry) {
-    this->quiet_since = turn.now;
-    this->retries.OnQuietTime();
+void DocumentExchange::OnTick(const CallContext& context) {
+  this->PushDeferred(context);
+  if (context.now - this->last_earned > kRetryEarnInterval) {
+    this->last_earned = context.now;
+    this->retries.EarnRetry();
   }
   for (const DocumentKind kind : kKinds) {
-    Search& search = this->searches[IndexOf(kind)];
-    if (search.asked && turn.now >= search.deadline) {
-      search.asked.reset();
-      search.not_before = turn.now + search.backoff.OnFailure(this->jitter);
+    Fetch& fetch = this->fetches[IndexOf(kind)];
+    if (fetch.peer && context.now >= fetch.deadline) {
+      fetch.peer.reset();
+      fetch.not_before = context.now + fetch.backoff.OnFailure(this->jitter);
     }
-    if (!search.asked && search.backoff.Failures() > 0 &&
-        turn.now >= search.not_before) {
-      this->AskAgain(kind, turn);
+    if (!fetch.peer && fetch.backoff.Failures() > 0 &&
+        context.now >= fetch.not_before) {
+      this->RetryFetch(kind, context);
     }
   }
 }
@@ -170,81 +173,86 @@
                                     : found->second[IndexOf(kind)];
 }
 
-bool DocumentExchange::Newer(const DocumentDigest& theirs) const {
+bool DocumentExchange::IsNewer(const DocumentDigest& theirs) const {
   const DocumentDigest& ours = this->documents.Store(theirs.kind).Digest();
   return theirs.revision.value > ours.revision.value &&
          !this->documents.Refused(theirs);
 }
 
-void DocumentExchange::Ask(common::InstanceId peer, const DocumentDigest& have,
-                           const Turn& turn) {
-  Search& search = this->searches[IndexOf(have.kind)];
-  search.asked = peer;
-  search.deadline = turn.now + kAnswerDeadline;
-  turn.Send(peer, DocumentRequest{have.kind, have});
+void DocumentExchange::SendRequest(common::InstanceId peer,
+                                   const DocumentDigest& have,
+                                   const CallContext& context) {
+  Fetch& fetch = this->fetches[IndexOf(have.kind)];
+  fetch.peer = peer;
+  fetch.deadline = context.now + kRequestTimeout;
+  context.Send(peer, DocumentRequest{have.kind, have});
 }
 
-void DocumentExchange::AskAgain(DocumentKind kind, const Turn& turn) {
+void DocumentExchange::RetryFetch(DocumentKind kind,
+                                  const CallContext& context) {
   std::vector<common::InstanceId> candidates;
   for (const auto& [peer, digests] : this->known) {
-    if (this->Newer(digests[IndexOf(kind)])) {
+    if (this->IsNewer(digests[IndexOf(kind)])) {
       candidates.push_back(peer);
     }
   }
-  Search& search = this->searches[IndexOf(kind)];
+  Fetch& fetch = this->fetches[IndexOf(kind)];
   if (candidates.empty()) {
-    search.backoff.OnSuccess();
+    fetch.backoff.OnSuccess();
     return;
   }
-  // Every instance that lost the same peer asks again; without a budget the
-  // repeats would be a multiple of the requests just when peers are few.
+  // All instances that lost the same peer retry; without a retry budget the
+  // retries would multiply the load just when few peers are left.
   if (!this->retries.TakeRetry()) {
-    search.not_before = turn.now + search.backoff.OnFailure(this->jitter);
+    fetch.not_before = context.now + fetch.backoff.OnFailure(this->jitter);
     return;
   }
   const auto chosen =
       static_cast<std::size_t>(this->jitter.Below(candidates.size()));
-  this->Ask(candidates[chosen], this->documents.Store(kind).Digest(), turn);
+  this->SendRequest(candidates[chosen], this->documents.Store(kind).Digest(),
+                    context);
 }
 
-bool DocumentExchange::Finish(OfferOutcome outcome, DocumentKind kind,
-                              const Turn& turn) {
-  Search& search = this->searches[IndexOf(kind)];
-  search.asked.reset();
+bool DocumentExchange::EndFetch(OfferOutcome outcome, DocumentKind kind,
+                                const CallContext& context) {
+  Fetch& fetch = this->fetches[IndexOf(kind)];
+  fetch.peer.reset();
   if (outcome == OfferOutcome::kMismatch) {
     ++this->counts.deltas_refused;
-    search.not_before = turn.now + search.backoff.OnFailure(this->jitter);
+    fetch.not_before = context.now + fetch.backoff.OnFailure(this->jitter);
     return false;
   }
-  search.backoff.OnSuccess();
-  search.not_before = turn.now;
+  fetch.backoff.OnSuccess();
+  fetch.not_before = context.now;
   return outcome == OfferOutcome::kAccepted;
 }
 
-void DocumentExchange::Owe(common::InstanceId peer, DocumentKind kind) {
-  const Owed owed{peer, kind};
-  if (std::find(this->owed.begin(), this->owed.end(), owed) ==
-      this->owed.end()) {
-    this->owed.push_back(owed);
+void DocumentExchange::DeferPush(common::InstanceId peer, DocumentKind kind) {
+  const DeferredPush deferred{peer, kind};
+  if (std::find(this->deferred.begin(), this->deferred.end(), deferred) ==
+      this->deferred.end()) {
+    this->deferred.push_back(deferred);
   }
 }
 
-void DocumentExchange::PushOwed(const Turn& turn) {
-  // A queue of deltas would send each step of a series that the budget can't
-  // carry. Owing the peer, rather than the message, sends the steps as one.
-  std::vector<Owed> due;
-  due.swap(this->owed);
-  for (const Owed& owed : due) {
-    this->Push(owed.peer, owed.kind, turn);
+void DocumentExchange::PushDeferred(const CallContext& context) {
+  // Queued deltas would send every step of a series that already exceeds the
+  // budget. Deferring the peer rather than the message sends all steps as one
+  // delta.
+  std::vector<DeferredPush> due;
+  due.swap(this->deferred);
+  for (const DeferredPush& deferred : due) {
+    this->Push(deferred.peer, deferred.kind, context);
   }
 }
 
-void DocumentExchange::Learn(common::InstanceId peer,
-                             const DocumentDigest& digest) {
-  Known& known = this->known
-                     .try_emplace(peer, Known{DocumentDigest{kKinds[0], {}, 0},
-                                              DocumentDigest{kKinds[1], {}, 0}})
-                     .first->second;
+void DocumentExchange::SetKnown(common::InstanceId peer,
+                                const DocumentDigest& digest) {
+  DigestPair& known =
+      this->known
+          .try_emplace(peer, DigestPair{DocumentDigest{kKinds[0], {}, 0},
+                                        DocumentDigest{kKinds[1], {}, 0}})
+          .first->second;
   known[IndexOf(digest.kind)] = digest;
 }
 
--- a/source/core/fleet/document_exchange.h
+++ b/source/core/fleet/document_exchange.h
@@ -1,4 +1,5 @@
-/// Brings documents from peer to peer: changes are pushed, gaps are asked for.
+/// Distributes documents between peers: changes are pushed, and an instance
+/// that lacks one requests it.
 #pragma once
 
 #include <array>
@@ -10,15 +11,15 @@
 #include <vector>
 
 #include "core/fleet/backoff.h"
+#include "core/fleet/call_context.h"
 #include "core/fleet/documents_in_force.h"
 #include "core/fleet/jitter.h"
 #include "core/fleet/retry_budget.h"
-#include "core/fleet/turn.h"
 #include "core/messages.h"
 
 namespace sassafrasdyke::core {
 
-/// What the exchange counted since the start.
+/// Counters since the process started.
 struct ExchangeCounts {
   std::uint64_t deltas_refused{0};
   std::uint64_t digest_conflicts{0};
@@ -30,70 +31,74 @@
   /// `documents` must outlive it.
   DocumentExchange(DocumentsInForce& documents, std::uint64_t seed);
 
-  /// A peer has told what it has. Asks it when that is newer.
+  /// Handles the digests of a peer's documents; requests what is newer there.
   void OnDigests(common::InstanceId peer,
-                 const std::vector<DocumentDigest>& digests, const Turn& turn);
+                 const std::vector<DocumentDigest>& digests,
+                 const CallContext& context);
 
-  /// Each takes a message; true when a newer document is now in force.
+  /// Handles a document message; true when a newer document is now in force.
   bool OnDelta(common::InstanceId peer, const DocumentDelta& delta,
-               const Turn& turn);
+               const CallContext& context);
   bool OnCopy(common::InstanceId peer, const DocumentCopy& copy,
-              const Turn& turn);
+              const CallContext& context);
 
-  /// Answers a peer that asks.
+  /// Answers a peer's request if the document here is newer.
   void OnRequest(common::InstanceId peer, const DocumentRequest& request,
-                 const Turn& turn);
+                 const CallContext& context);
 
-  /// Sends the change that led here to a peer that lacks it, now or as soon as
-  /// the budget allows. False when the peer must ask for it instead, because
-  /// what it has is unknown or the change is large.
-  bool Push(common::InstanceId peer, DocumentKind kind, const Turn& turn);
+  /// Sends a delta to a peer whose document is older, now or as soon as the
+  /// budget allows. False when the peer must request it instead, because its
+  /// revision is unknown or the delta is large.
+  bool Push(common::InstanceId peer, DocumentKind kind,
+            const CallContext& context);
 
-  /// Gives up on peers that don't answer and asks others.
-  void OnTick(const Turn& turn);
+  /// Sends deferred pushes, times requests out and repeats them to other peers.
+  void OnTick(const CallContext& context);
 
-  /// Forgets peers that aren't in `listed` (sorted by id).
+  /// Drops the state of peers that aren't in `listed` (sorted by id).
   void KeepOnly(const std::vector<Instance>& listed);
 
   const ExchangeCounts& Counts() const { return this->counts; }
   std::uint64_t RetriesDenied() const { return this->retries.Denied(); }
-  /// What `peer` was last known to have.
+  /// What `peer` was last known to have; revision 0 when unknown.
   DocumentDigest KnownOf(common::InstanceId peer, DocumentKind kind) const;
 
  private:
-  /// The search for a newer document of one kind.
-  struct Search {
-    std::optional<common::InstanceId> asked;
+  /// The requests for a newer document of one kind.
+  struct Fetch {
+    std::optional<common::InstanceId> peer;  ///< Set while it may answer.
     std::chrono::milliseconds deadline{0};
     std::chrono::milliseconds not_before{0};
     Backoff backoff{BackoffLimits{}};
   };
-  using Known = std::array<DocumentDigest, 2>;
-  /// A peer whose change the budget has held back.
-  struct Owed {
+  /// The digests of both documents, by kind.
+  using DigestPair = std::array<DocumentDigest, 2>;
+  /// A push that the budget didn't allow yet.
+  struct DeferredPush {
     common::InstanceId peer;
     DocumentKind kind{DocumentKind::kConfiguration};
 
-    friend bool operator==(const Owed&, const Owed&) = default;
+    friend bool operator==(const DeferredPush&, const DeferredPush&) = default;
   };
 
-  bool Newer(const DocumentDigest& theirs) const;
-  void Ask(common::InstanceId peer, const DocumentDigest& have,
-           const Turn& turn);
-  void AskAgain(DocumentKind kind, const Turn& turn);
-  bool Finish(OfferOutcome outcome, DocumentKind kind, const Turn& turn);
-  void Owe(common::InstanceId peer, DocumentKind kind);
-  void PushOwed(const Turn& turn);
-  void Learn(common::InstanceId peer, const DocumentDigest& digest);
+  bool IsNewer(const DocumentDigest& theirs) const;
+  void SendRequest(common::InstanceId peer, const DocumentDigest& have,
+                   const CallContext& context);
+  void RetryFetch(DocumentKind kind, const CallContext& context);
+  bool EndFetch(OfferOutcome outcome, DocumentKind kind,
+                const CallContext& context);
+  void DeferPush(common::InstanceId peer, DocumentKind kind);
+  void PushDeferred(const CallContext& context);
+  void SetKnown(common::InstanceId peer, const DocumentDigest& digest);
 
   DocumentsInForce& documents;
   Jitter jitter;
   RetryBudget retries;
-  std::array<Search, 2> searches;
-  std::map<common::InstanceId, Known> known;
-  std::vector<Owed> owed;
+  std::array<Fetch, 2> fetches;
+  std::map<common::InstanceId, DigestPair> known;
+  std::vector<DeferredPush> deferred;
   ExchangeCounts counts;
-  std::chrono::milliseconds quiet_since{0};
+  std::chrono::milliseconds last_earned{0};  ///< Last `EarnRetry`.
 };
 
 }  // namespace sassafrasdyke::core
--- a/source/core/fleet/document_store.cc
+++ b/source/core/fleet/document_store.cc
@@ -81,9 +81,9 @@
   for (const DocumentEntry& entry : delta.changed) {
     SetEntry(next.entries, entry);
   }
-  // Two instances that hold different text under one revision would place
-  // flows differently for as long as no other change repairs it, and nobody
-  // would be told. The digest shows it at once and the whole copy heals it.
+  // Two instances with different content under one revision would place flows
+  // differently, unnoticed, until some later change repairs it. The digest
+  // detects this at once, and a whole copy repairs it.
   if (DigestOfEntries(next.entries) != delta.digest) {
     return tl::unexpected(DeltaRefusal::kWrongDigest);
   }
@@ -104,8 +104,8 @@
 void DocumentStore::Remember(Step step) {
   this->paths_kept += step.changed.size();
   this->history.push_back(std::move(step));
-  // Without a bound a service that republishes everything once a second would
-  // fill the memory of every instance within a day.
+  // Without a bound, a service that republishes everything once a second would
+  // exhaust the memory of every instance within a day.
   while (!this->history.empty() &&
          (this->history.size() > this->limits.revisions ||
           this->paths_kept > this->limits.paths)) {
--- a/source/core/fleet/document_store.h
+++ b/source/core/fleet/document_store.h
@@ -1,5 +1,5 @@
-/// Keeps the newest revision of one document and enough of its history to tell
-/// a peer what changed since the revision that the peer has.
+/// Keeps the newest revision of one document and a bounded history of changed
+/// paths, from which deltas for peers are made.
 #pragma once
 
 #include <cstddef>
@@ -16,12 +16,12 @@
 
 /// Why a delta can't be applied.
 enum class DeltaRefusal : std::uint8_t {
-  kOlder,        ///< Leads to a revision that is already here or older.
-  kWrongBase,    ///< Starts from another revision than the one here.
-  kWrongDigest,  ///< The result isn't the document the sender has.
+  kOlder,        ///< Its result is no newer than the current revision.
+  kWrongBase,    ///< Its base isn't the current revision.
+  kWrongDigest,  ///< Its result differs from the sender's document.
 };
 
-/// What answers a peer's request.
+/// The answer to a peer's request.
 using DocumentAnswer = std::variant<DocumentDelta, DocumentCopy>;
 
 /// Bounds of the history.
@@ -38,22 +38,23 @@
   const Document& Current() const { return this->current; }
   const DocumentDigest& Digest() const { return this->digest; }
 
-  /// The document that `delta` would lead to; nothing is put in force.
+  /// The document that results from `delta`; the store doesn't change.
   tl::expected<Document, DeltaRefusal> Apply(const DocumentDelta& delta) const;
 
-  /// Puts `document` in force and remembers which paths changed. Its entries
-  /// must be sorted by path and its revision greater than the current one.
+  /// Stores `document` and records which paths changed. Its entries must be
+  /// sorted by path and its revision greater than the current one.
   void Replace(Document document);
 
-  /// The shortest answer that leads a peer with `have` to the current
-  /// revision: a delta while the history reaches back that far and the delta
-  /// is smaller than the whole, else a copy.
+  /// The shortest answer that brings a peer with `have` to the current
+  /// revision: a delta if the history reaches back to `have` and the delta is
+  /// smaller than the document, else a copy.
   DocumentAnswer AnswerFor(const DocumentDigest& have) const;
 
-  /// Bytes of all paths and bodies, for choosing between delta and copy.
+  /// Bytes of all paths and bodies.
   std::size_t Bytes() const { return this->bytes; }
 
  private:
+  /// The change from one revision to the next one stored.
   struct Step {
     DocumentDigest from;
     std::vector<std::string> changed;  ///< Paths set or removed.
@@ -75,7 +76,7 @@
 std::vector<std::string> ChangedPaths(const std::vector<DocumentEntry>& before,
                                       const std::vector<DocumentEntry>& after);
 
-/// True when `entries` are sorted by path and no path stands twice.
+/// True when `entries` are sorted by path without duplicates.
 bool SortedByPath(const std::vector<DocumentEntry>& entries);
 
 }  // namespace sassafrasdyke::core
--- a/source/core/fleet/documents_in_force.cc
+++ b/source/core/fleet/documents_in_force.cc
@@ -22,8 +22,8 @@
 OfferOutcome DocumentsInForce::Offer(Document document, common::InstanceId from,
                                      FleetOutbox& outbox) {
   DocumentStore& store = this->stores[IndexOf(document.kind)];
-  // The platform's service and lagging peers hand out old revisions after a
-  // failover. Taking one would bring back targets that operators removed.
+  // After a failover, the platform's service and lagging peers may serve old
+  // revisions. Accepting one would bring back targets that operators removed.
   if (document.revision.value <= store.Current().revision.value) {
     return OfferOutcome::kOlder;
   }
@@ -71,8 +71,8 @@
                               FleetOutbox& outbox) {
   const DocumentDigest digest{document.kind, document.revision,
                               DigestOfEntries(document.entries)};
-  // A reader fetches the same invalid text again at each poll; one line a
-  // revision is loud enough and leaves the log readable.
+  // A reader fetches the same invalid document at each poll; logging it once
+  // for each revision keeps the log readable.
   if (this->Refused(digest)) {
     return;
   }
--- a/source/core/fleet/documents_in_force.h
+++ b/source/core/fleet/documents_in_force.h
@@ -1,4 +1,4 @@
-/// Puts documents in force: only ever newer ones, and only valid ones.
+/// Holds the documents in force; only newer, valid documents replace them.
 #pragma once
 
 #include <array>
@@ -13,26 +13,27 @@
 
 namespace sassafrasdyke::core {
 
-/// What became of an offered document.
+/// The result of offering a document.
 enum class OfferOutcome : std::uint8_t {
   kAccepted,
   kOlder,     ///< Not newer than the one in force; ignored.
-  kRefused,   ///< Invalid, refused whole and said in the decision log.
-  kMismatch,  ///< Its text isn't what its digest or order promises.
+  kRefused,   ///< Invalid; refused as a whole and written to the decision log.
+  kMismatch,  ///< Its entries aren't sorted by path or repeat a path.
 };
 
-/// Both documents of one instance, as text and as typed values.
+/// Both documents of one instance, as text and as parsed values.
 class DocumentsInForce {
  public:
   /// `reader` must outlive it.
   explicit DocumentsInForce(const DocumentReader& reader);
 
-  /// Offers a document whose text came from `from` (0 for the platform).
-  /// Decisions, and the new configuration, go to `outbox`.
+  /// Puts `document`, received from `from` (0 for the platform), in force if it
+  /// is newer and valid. Adds the decision and a new configuration to `outbox`.
   OfferOutcome Offer(Document document, common::InstanceId from,
                      FleetOutbox& outbox);
 
-  /// True when this very document was refused; asking for it again is useless.
+  /// True when this revision with this content was the last one refused, so
+  /// that requesting it again is useless.
   bool Refused(const DocumentDigest& digest) const;
 
   const DocumentStore& Store(DocumentKind kind) const;
@@ -45,7 +46,7 @@
   const std::vector<DocumentRefused>& Refusals() const {
     return this->refusals;
   }
-  /// What both documents are, for telling peers.
+  /// The digests of both documents, as sent to peers.
   std::vector<DocumentDigest> Digests() const;
 
  private:
--- a/source/core/fleet/flap_damper.cc
+++ b/source/core/fleet/flap_damper.cc
@@ -5,13 +5,13 @@
 namespace sassafrasdyke::core {
 namespace {
 
-/// Keeps the doubling inside the range of the type.
-constexpr unsigned kMostDoublings = 16;
+/// Keeps the shifted time from overflowing.
+constexpr unsigned kMaxDoublings = 16;
 
 }  // namespace
 
-bool FlapDamper::Held(common::InstanceId id, bool suspected,
-                      std::chrono::milliseconds now) {
+bool FlapDamper::UpdateSuppression(common::InstanceId id, bool suspected,
+                                   std::chrono::milliseconds now) {
   if (!suspected && !this->histories.contains(id)) {
     return false;
   }
@@ -27,9 +27,9 @@
     ++history.returns;
   }
   const std::chrono::milliseconds quiet = now - history.quiet_since;
-  // A link that works every other second would move the same partitions back
-  // and forth; users see flows stall at each move.
-  history.held = history.held && quiet < this->QuietNeeded(history.returns);
+  // An intermittent link would otherwise move the same partitions back and
+  // forth, and flows stall at each move.
+  history.held = history.held && quiet < this->RequiredQuiet(history.returns);
   if (quiet >= this->limits.forgive_after) {
     history.quiet_since = now;
     --history.returns;
@@ -41,11 +41,11 @@
   return held;
 }
 
-bool FlapDamper::Waiting() const { return !this->histories.empty(); }
+bool FlapDamper::HasHistory() const { return !this->histories.empty(); }
 
-std::chrono::milliseconds FlapDamper::QuietNeeded(unsigned returns) const {
+std::chrono::milliseconds FlapDamper::RequiredQuiet(unsigned returns) const {
   const unsigned doublings =
-      std::min(returns == 0 ? 0 : returns - 1, kMostDoublings);
+      std::min(returns == 0 ? 0 : returns - 1, kMaxDoublings);
   return std::min(this->limits.longest, this->limits.first * (1U << doublings));
 }
 
--- a/source/core/fleet/flap_damper.h
+++ b/source/core/fleet/flap_damper.h
@@ -1,4 +1,5 @@
-/// Keeps an instance that comes and goes out of ownership for longer each time.
+/// Flap damping: an instance that is suspected again and again stays out of
+/// ownership for longer each time.
 #pragma once
 
 #include <chrono>
@@ -8,34 +9,36 @@
 
 namespace sassafrasdyke::core {
 
-/// The bounds of the damping.
+/// The limits of the damping.
 struct DampingLimits {
-  std::chrono::milliseconds first{1000};  ///< Quiet needed the first time.
+  /// Time without suspicion that is required after the first return; it doubles
+  /// with each further return.
+  std::chrono::milliseconds first{1000};
   std::chrono::milliseconds longest{std::chrono::minutes{1}};
-  /// Time without suspicion after which one return is forgiven.
+  /// Time without suspicion after which one return no longer counts.
   std::chrono::milliseconds forgive_after{std::chrono::minutes{1}};
 };
 
-/// One instance's view of how often others came and went.
+/// Records how often each instance was suspected and returned.
 class FlapDamper {
  public:
   explicit FlapDamper(DampingLimits limits = {}) : limits(limits) {}
 
-  /// Takes whether a suspicion of `id` is confirmed at `now`; answers whether
-  /// it shall still count as suspected.
-  bool Held(common::InstanceId id, bool suspected,
-            std::chrono::milliseconds now);
+  /// Records whether a suspicion of `id` is confirmed at `now`. Returns whether
+  /// it must count as suspected, because it is or because of the damping.
+  bool UpdateSuppression(common::InstanceId id, bool suspected,
+                         std::chrono::milliseconds now);
 
-  /// Forgets the instances for which `listed(id)` doesn't hold.
+  /// Drops the instances for which `listed(id)` is false.
   template <typename Condition>
   void KeepOnly(Condition listed) {
     std::erase_if(this->histories,
                   [&](const auto& item) { return !listed(item.first); });
   }
 
-  /// True while an instance counts as suspected only because of the damping,
-  /// so that time alone may change the answer.
-  bool Waiting() const;
+  /// True while any instance has a history, so that the result of
+  /// `UpdateSuppression` may change with time alone.
+  bool HasHistory() const;
 
  private:
   struct History {
@@ -45,7 +48,7 @@
     std::chrono::milliseconds quiet_since{0};
   };
 
-  std::chrono::milliseconds QuietNeeded(unsigned returns) const;
+  std::chrono::milliseconds RequiredQuiet(unsigned returns) const;
 
   DampingLimits limits;
   std::map<common::InstanceId, History> histories;
--- a/source/core/fleet/heartbeats.cc
+++ b/source/core/fleet/heartbeats.cc
@@ -6,30 +6,32 @@
 namespace sassafrasdyke::core {
 namespace {
 
-/// Links between domains are dearer than those inside one.
+/// Heartbeat intervals between two requests on a link to another domain, where
+/// traffic costs more than inside a domain.
 constexpr int kLinkIntervals = 2;
-/// Part of an interval over which heartbeats are spread.
-constexpr int kJitterPart = 5;
-/// Room for more sequences than a process lives milliseconds.
+/// Heartbeats are jittered by up to 1/kJitterDivisor of the interval.
+constexpr int kJitterDivisor = 5;
+/// Clears the top bits of the random first sequence: adding the process's
+/// uptime in milliseconds, which makes the sequences, can't overflow.
 constexpr unsigned kSequenceShift = 24;
 
 /// Bytes of one heartbeat on its stream, rounded up.
 constexpr std::size_t kHeartbeatBytes = 64;
-/// Questions that must have been left unanswered before a peer is silent.
-constexpr int kUnanswered = 3;
+/// Requests that a peer must leave unanswered before it counts as silent.
+constexpr int kMinUnanswered = 3;
 constexpr std::size_t kMillisecondsPerSecond = 1000;
 
-/// The published interval, or a longer one where that many questions would not
-/// fit into half of the heartbeats' budget; the other half is for answers. The
-/// budget would drop them otherwise, and peers whose questions or answers were
-/// dropped here would be suspected for it: with 8 watchers of 116 instances,
-/// healthy instances lost their ownership all the time.
-std::chrono::milliseconds IntervalFor(std::size_t questions,
+/// The published interval, or a longer one where `requests` heartbeats per
+/// interval exceed half of the heartbeat budget; the other half is for answers.
+/// The budget would drop the excess, and peers whose requests or answers were
+/// dropped here would be suspected: with 8 watchers for each of 116 instances,
+/// healthy instances kept losing their ownership.
+std::chrono::milliseconds IntervalFor(std::size_t requests,
                                       const FleetPolicy& policy) {
   const std::size_t rate =
       std::max<std::size_t>(HeartbeatBytesPerSecond(policy) / 2, 1);
   const std::size_t needed =
-      questions * kHeartbeatBytes * kMillisecondsPerSecond / rate;
+      requests * kHeartbeatBytes * kMillisecondsPerSecond / rate;
   return std::max(policy.heartbeat_interval, std::chrono::milliseconds(needed));
 }
 
@@ -59,7 +61,7 @@
   this->links = std::move(next_links);
 }
 
-void Heartbeats::Restart(std::chrono::milliseconds now) {
+void Heartbeats::RestartSilences(std::chrono::milliseconds now) {
   for (auto& [id, since] : this->watched) {
     since = now;
   }
@@ -69,52 +71,53 @@
   }
 }
 
-void Heartbeats::Excuse(common::InstanceId id, std::chrono::milliseconds now) {
+void Heartbeats::RestartSilence(common::InstanceId id,
+                                std::chrono::milliseconds now) {
   if (const auto found = this->watched.find(id); found != this->watched.end()) {
     found->second = now;
   }
 }
 
-void Heartbeats::OnTick(const Turn& turn, const FleetPolicy& policy,
+void Heartbeats::OnTick(const CallContext& context, const FleetPolicy& policy,
                         const Heartbeat& content,
                         const std::vector<common::InstanceId>& extra) {
-  if (turn.now >= this->next_watch) {
+  if (context.now >= this->next_watch) {
     this->interval = IntervalFor(this->watched.size() + extra.size(), policy);
-    this->next_watch = turn.now + this->interval -
-                       this->interval / kJitterPart +
-                       this->jitter.UpTo(2 * this->interval / kJitterPart);
+    this->next_watch = context.now + this->interval -
+                       this->interval / kJitterDivisor +
+                       this->jitter.UpTo(2 * this->interval / kJitterDivisor);
     for (const auto& [id, since] : this->watched) {
-      this->Ask(turn, id, content);
+      this->SendRequest(context, id, content);
     }
     for (const common::InstanceId id : extra) {
-      this->Ask(turn, id, content);
+      this->SendRequest(context, id, content);
     }
   }
-  if (turn.now >= this->next_link) {
+  if (context.now >= this->next_link) {
     this->next_link =
-        turn.now + kLinkIntervals * policy.heartbeat_interval -
-        this->jitter.UpTo(policy.heartbeat_interval / kJitterPart);
-    this->TurnToNextPartners(turn.now, policy);
+        context.now + kLinkIntervals * policy.heartbeat_interval -
+        this->jitter.UpTo(policy.heartbeat_interval / kJitterDivisor);
+    this->ReplaceSilentPartners(context.now, policy);
     for (const common::InstanceId id : this->LinkPartners()) {
-      this->Ask(turn, id, content);
+      this->SendRequest(context, id, content);
     }
   }
 }
 
-void Heartbeats::Ask(const Turn& turn, common::InstanceId to,
-                     Heartbeat content) const {
+void Heartbeats::SendRequest(const CallContext& context, common::InstanceId to,
+                             Heartbeat content) const {
   content.answer = false;
   content.sequence =
-      this->first_sequence + static_cast<std::uint64_t>(turn.now.count());
-  turn.Send(to, std::move(content));
+      this->first_sequence + static_cast<std::uint64_t>(context.now.count());
+  context.Send(to, std::move(content));
 }
 
 std::optional<std::chrono::milliseconds> Heartbeats::OnAnswer(
     common::InstanceId from, common::DomainId domain, std::uint64_t sequence,
     std::chrono::milliseconds now) {
   const auto age = static_cast<std::uint64_t>(now.count());
-  // The answer to a question of an earlier life at this address would renew a
-  // lease that nobody has renewed.
+  // An answer to a request of an earlier process at this address would renew
+  // the lease although no peer has confirmed this process.
   if (sequence < this->first_sequence ||
       sequence - this->first_sequence > age) {
     return std::nullopt;
@@ -136,11 +139,11 @@
   return asked_at;
 }
 
-bool Heartbeats::Silent(common::InstanceId id, std::chrono::milliseconds now,
-                        const FleetPolicy& policy) const {
+bool Heartbeats::IsSilent(common::InstanceId id, std::chrono::milliseconds now,
+                          const FleetPolicy& policy) const {
   const auto found = this->watched.find(id);
   const auto allowed =
-      std::max(policy.suspect_after, kUnanswered * this->interval);
+      std::max(policy.suspect_after, kMinUnanswered * this->interval);
   return found != this->watched.end() && now - found->second > allowed;
 }
 
@@ -161,11 +164,11 @@
   return partners;
 }
 
-void Heartbeats::TurnToNextPartners(std::chrono::milliseconds now,
-                                    const FleetPolicy& policy) {
+void Heartbeats::ReplaceSilentPartners(std::chrono::milliseconds now,
+                                       const FleetPolicy& policy) {
   for (auto& [domain, link] : this->links) {
-    // The partner may have died, and the words on that may lag: they travel
-    // over this very link.
+    // The partner may be dead without being reported as such yet, because those
+    // reports arrive over this same link.
     if (now - link.partner_since > policy.suspect_after) {
       link.current = (link.current + 1) % link.partners.size();
       link.partner_since = now;
--- a/source/core/fleet/heartbeats.h
+++ b/source/core/fleet/heartbeats.h
@@ -1,4 +1,4 @@
-/// Asks peers for signs of life and knows who has stopped answering.
+/// Sends heartbeats to peers and tracks which of them have stopped answering.
 #pragma once
 
 #include <chrono>
@@ -8,58 +8,62 @@
 #include <vector>
 
 #include "core/configuration.h"
+#include "core/fleet/call_context.h"
 #include "core/fleet/jitter.h"
 #include "core/fleet/peer_plan.h"
-#include "core/fleet/turn.h"
 #include "core/messages.h"
 
 namespace sassafrasdyke::core {
 
-/// Whether another failure domain answers over one link.
+/// Whether any instance of another failure domain answers over this instance's
+/// link to it.
 struct LinkState {
   common::DomainId domain;
   bool reachable{true};
 };
 
-/// The heartbeats of one instance. A peer is alive when it answers: a sign that
-/// it can send is not enough, since a one-way cut or a half-open connection
-/// still lets its messages through.
+/// The heartbeats of one instance. Only an answer proves that a peer is alive:
+/// its own messages also arrive over a one-way partition or a half-open
+/// connection.
 class Heartbeats {
  public:
   explicit Heartbeats(std::uint64_t seed);
 
-  /// Takes new duties; the silence of a newly watched peer counts from `now`.
+  /// Sets which peers to watch; the silence of a newly watched peer is measured
+  /// from `now`.
   void SetPlan(const PeerPlan& plan, std::chrono::milliseconds now);
 
-  /// Counts every silence from `now`: what was missed, this instance missed.
-  void Restart(std::chrono::milliseconds now);
+  /// Measures the silence of every peer from `now`. Called when this instance
+  /// itself was paused or isolated, so that missing answers prove nothing.
+  void RestartSilences(std::chrono::milliseconds now);
 
-  /// Counts the silence of `id` from `now`, because it has spoken for itself.
-  void Excuse(common::InstanceId id, std::chrono::milliseconds now);
+  /// Measures the silence of `id` from `now`, after a report of its own.
+  void RestartSilence(common::InstanceId id, std::chrono::milliseconds now);
 
-  /// Sends what is due. `content` carries all but the sequence; `extra` are
-  /// further peers to ask.
-  void OnTick(const Turn& turn, const FleetPolicy& policy,
+  /// Sends the heartbeats that are due. `content` is complete but for the
+  /// sequence; `extra` are peers to contact besides the watched ones.
+  void OnTick(const CallContext& context, const FleetPolicy& policy,
               const Heartbeat& content,
               const std::vector<common::InstanceId>& extra);
 
-  /// Asks one peer now.
-  void Ask(const Turn& turn, common::InstanceId to, Heartbeat content) const;
+  /// Sends a heartbeat request to one peer now.
+  void SendRequest(const CallContext& context, common::InstanceId to,
+                   Heartbeat content) const;
 
-  /// Takes an answer; returns when its question was asked, or nothing when no
-  /// question of this life fits.
+  /// Handles an answer. Returns when its request was sent, or nothing if this
+  /// process sent no such request.
   std::optional<std::chrono::milliseconds> OnAnswer(
       common::InstanceId from, common::DomainId domain, std::uint64_t sequence,
       std::chrono::milliseconds now);
 
-  /// True when the watched peer has left all questions unanswered for longer
-  /// than the policy allows and than a few questions take.
-  bool Silent(common::InstanceId id, std::chrono::milliseconds now,
-              const FleetPolicy& policy) const;
+  /// True when the watched peer has answered nothing for longer than
+  /// `suspect_after` and for longer than `kMinUnanswered` intervals.
+  bool IsSilent(common::InstanceId id, std::chrono::milliseconds now,
+                const FleetPolicy& policy) const;
 
   std::vector<LinkState> Links(std::chrono::milliseconds now,
                                const FleetPolicy& policy) const;
-  /// Whom the links talk to now.
+  /// The current partner of each link.
   std::vector<common::InstanceId> LinkPartners() const;
 
  private:
@@ -70,15 +74,16 @@
     std::chrono::milliseconds domain_since{0};
   };
 
-  void TurnToNextPartners(std::chrono::milliseconds now,
-                          const FleetPolicy& policy);
+  void ReplaceSilentPartners(std::chrono::milliseconds now,
+                             const FleetPolicy& policy);
 
   std::uint64_t first_sequence;
   Jitter jitter;
-  /// The moment from which the silence of each watched peer counts.
+  /// When the silence of each watched peer began: the send time of the newest
+  /// request that it answered, or the last restart.
   std::map<common::InstanceId, std::chrono::milliseconds> watched;
   std::map<common::DomainId, Link> links;
-  /// The time between questions, stretched to fit the budget.
+  /// The time between requests, lengthened where the budget requires it.
   std::chrono::milliseconds interval{0};
   std::chrono::milliseconds next_watch{0};
   std::chrono::milliseconds next_link{0};
--- a/source/core/fleet/jitter.h
+++ b/source/core/fleet/jitter.h
@@ -1,5 +1,5 @@
-/// Seeded randomness for spreading work in time; never for decisions on which
-/// instances must agree.
+/// Seeded random numbers for spreading work over time; not for decisions on
+/// which instances must agree.
 #pragma once
 
 #include <chrono>
@@ -7,7 +7,7 @@
 
 namespace sassafrasdyke::core {
 
-/// A small generator (SplitMix64). The same seed gives the same values on every
+/// The SplitMix64 generator. The same seed gives the same values on every
 /// machine.
 class Jitter {
  public:
--- a/source/core/fleet/join_gate.cc
+++ b/source/core/fleet/join_gate.cc
@@ -5,14 +5,14 @@
 namespace sassafrasdyke::core {
 namespace {
 
-/// How long peers have for their word.
-constexpr std::chrono::milliseconds kJoinWait{1500};
+/// How long to wait for the peers' configuration.
+constexpr std::chrono::milliseconds kPeerWait{1500};
 
 }  // namespace
 
 void JoinGate::Hold(const Document& document, std::chrono::milliseconds now) {
   if (!this->held) {
-    this->held_until = now + kJoinWait;
+    this->held_until = now + kPeerWait;
   }
   this->held = document;
 }
--- a/source/core/fleet/join_gate.h
+++ b/source/core/fleet/join_gate.h
@@ -1,5 +1,5 @@
 /// Holds back the configuration that a joining instance reads from the platform
-/// until its peers have told which one is in force.
+/// until its peers have sent the one in force.
 #pragma once
 
 #include <chrono>
@@ -9,25 +9,26 @@
 
 namespace sassafrasdyke::core {
 
-/// What a joining instance knows of its peers.
+/// What decides whether a held configuration may be released.
 struct JoinState {
   bool configured{false};  ///< A peer's configuration is in force here.
-  bool alone{false};       ///< The instance list names nobody else.
+  bool alone{false};       ///< The instance list has no other instance.
 };
 
-/// The fleet may have refused the newest revision because it can't follow the
-/// one in force. A joining instance has nothing in force to compare with; if it
-/// took that revision, it alone would place flows by it, and callers' packets
-/// would meet another owner there than everywhere else.
+/// The fleet may have refused the newest revision because it may not replace
+/// the one in force. A joining instance has nothing in force to compare with;
+/// if it accepted that revision, it alone would place flows by it, and callers'
+/// packets would reach a different owner there than everywhere else.
 class JoinGate {
  public:
-  /// Keeps `document`, in place of an earlier one.
+  /// Holds `document`, in place of an earlier one. The wait counts from the
+  /// first document held.
   void Hold(const Document& document, std::chrono::milliseconds now);
 
   bool Holding() const { return this->held.has_value(); }
 
-  /// Gives the document back once it may be offered: after a peer's, when there
-  /// are no peers, or when peers have had their time.
+  /// Returns the document once it may be offered: when a peer's configuration
+  /// is in force, when there are no peers, or when the wait for peers is over.
   std::optional<Document> Release(const JoinState& state,
                                   std::chrono::milliseconds now);
 
--- a/source/core/fleet/lease_keeper.h
+++ b/source/core/fleet/lease_keeper.h
@@ -1,4 +1,5 @@
-/// Decides whether this instance may act on what it knows.
+/// Decides whether this instance holds its lease, the permission to place flows
+/// by its current view of the fleet.
 #pragma once
 
 #include <chrono>
@@ -10,42 +11,46 @@
 
 namespace sassafrasdyke::core {
 
-/// The lease of one instance. Only words that answer a question asked after the
-/// last pause count as fresh.
+/// The lease of one instance. It is renewed by answers of peers and of the
+/// platform; answers to requests sent before the last pause of the process
+/// don't count.
 class LeaseKeeper {
  public:
-  /// To be called first at every entry into the fleet. True when the process
-  /// was paused: the lease is gone before anything else is done.
-  bool Observe(std::chrono::milliseconds now, const FleetPolicy& policy);
+  /// Must be called first in every call into the fleet. True when the process
+  /// was paused since the last call; the lease is then lost at once.
+  bool DetectPause(std::chrono::milliseconds now, const FleetPolicy& policy);
 
-  /// A peer answered a question asked at `asked_at`. `caught_up` says that the
-  /// peer's documents are no newer than the ones here.
-  void OnPeerWord(std::chrono::milliseconds asked_at, bool caught_up);
+  /// A peer answered a heartbeat sent at `asked_at`. `caught_up` is true when
+  /// this instance knows everything that the peer knows: its documents are no
+  /// older than the peer's and its member reports are the same.
+  void OnPeerAnswer(std::chrono::milliseconds asked_at, bool caught_up);
 
   /// The platform answered.
-  void OnPlatformWord(std::chrono::milliseconds now);
+  void OnPlatformAnswer(std::chrono::milliseconds now);
 
-  /// Forms the lease at `now`; `peers` is how many others are listed.
+  /// Computes the lease at `now`; `peers` is the number of other listed
+  /// instances.
   Lease Evaluate(std::chrono::milliseconds now, const FleetPolicy& policy,
                  std::size_t peers);
 
   Lease Current() const { return this->lease; }
 
-  /// True when half of the lease has passed without a fresh word, so that more
-  /// peers should be asked.
-  bool ShouldAsk(std::chrono::milliseconds now,
-                 const FleetPolicy& policy) const;
+  /// True when half of the lease has passed without a renewal, so that further
+  /// peers should be contacted.
+  bool HalfExpired(std::chrono::milliseconds now,
+                   const FleetPolicy& policy) const;
 
  private:
-  bool Fresh(std::chrono::milliseconds now, const FleetPolicy& policy) const;
+  bool IsFresh(std::chrono::milliseconds now, const FleetPolicy& policy) const;
 
   Lease lease{Lease::kStale};
-  std::chrono::milliseconds seen{0};
+  std::chrono::milliseconds last_call{0};
   bool started{false};
-  /// Words asked for before this moment are old.
-  std::chrono::milliseconds barrier{0};
-  std::optional<std::chrono::milliseconds> fresh_at;
-  /// First fresh word that came while the documents here were behind.
+  /// End of the last pause; answers to earlier requests don't count.
+  std::chrono::milliseconds resumed_at{0};
+  std::optional<std::chrono::milliseconds> renewed_at;
+  /// Send time of the first request whose answer showed that this instance is
+  /// behind its peers.
   std::optional<std::chrono::milliseconds> behind_since;
   std::chrono::milliseconds silent_since{0};
   bool paused{false};
--- a/source/core/fleet/live_fleet.cc
+++ b/source/core/fleet/live_fleet.cc
@@ -7,18 +7,20 @@
 namespace sassafrasdyke::core {
 namespace {
 
-/// Over which the first reads of instances that start together are spread.
+/// Time over which the first platform reads of instances that start together
+/// are spread.
 constexpr std::chrono::milliseconds kStartSpread{1000};
-/// Over which readers that follow a dead one start.
+/// Time over which the watches of new readers are spread, as when they replace
+/// a dead one.
 constexpr std::chrono::milliseconds kTakeOverSpread{500};
-/// Further peers asked at once while the lease runs down.
+/// Random peers contacted in addition while the lease isn't being renewed.
 constexpr std::size_t kExtraPeers = 2;
 
-std::uint64_t SubSeed(std::uint64_t seed, std::uint64_t part) {
+std::uint64_t DeriveSeed(std::uint64_t seed, std::uint64_t part) {
   return common::HashNumbers(seed, part, 0);
 }
 
-void AddOnce(std::vector<common::InstanceId>& ids, common::InstanceId id) {
+void AddUnique(std::vector<common::InstanceId>& ids, common::InstanceId id) {
   if (std::find(ids.begin(), ids.end(), id) == ids.end()) {
     ids.push_back(id);
   }
@@ -30,46 +32,46 @@
                      std::uint64_t seed)
     : self(self),
       documents(reader),
-      exchange(this->documents, SubSeed(seed, 1)),
+      exchange(this->documents, DeriveSeed(seed, 1)),
       members(self),
       reports(self.id, this->members),
-      heartbeats(SubSeed(seed, 2)),
-      platform(SubSeed(seed, 3)),
-      jitter(SubSeed(seed, 4)) {}
+      heartbeats(DeriveSeed(seed, 2)),
+      platform(DeriveSeed(seed, 3)),
+      jitter(DeriveSeed(seed, 4)) {}
 
 void LiveFleet::OnPlatformDocument(const Document& document,
                                    std::chrono::milliseconds now,
                                    FleetOutbox& outbox) {
-  const Turn turn = this->Begin(now, outbox);
-  this->lease_keeper.OnPlatformWord(now);
+  const CallContext context = this->BeginCall(now, outbox);
+  this->lease_keeper.OnPlatformAnswer(now);
   const bool joining =
       document.kind == DocumentKind::kConfiguration &&
       this->documents.Store(document.kind).Current().revision.value == 0;
   if (joining) {
     this->join_gate.Hold(document, now);
-    this->OfferHeldConfiguration(turn);
+    this->OfferHeldConfiguration(context);
   } else if (this->documents.Offer(document, common::InstanceId{}, outbox) ==
              OfferOutcome::kAccepted) {
-    this->AfterAccepted(document.kind, common::InstanceId{}, turn);
+    this->OnDocumentAccepted(document.kind, common::InstanceId{}, context);
   }
-  this->Finish(turn);
+  this->EndCall(context);
 }
 
 void LiveFleet::OnPlatformAnswer(bool reached, std::chrono::milliseconds now,
                                  FleetOutbox& outbox) {
-  const Turn turn = this->Begin(now, outbox);
+  const CallContext context = this->BeginCall(now, outbox);
   if (reached) {
-    this->lease_keeper.OnPlatformWord(now);
+    this->lease_keeper.OnPlatformAnswer(now);
   }
   this->platform.OnAnswer(reached, now);
-  this->Finish(turn);
+  this->EndCall(context);
 }
 
 void LiveFleet::OnPeerMessage(common::InstanceId from,
                               const PeerMessage& message,
                               std::chrono::milliseconds now,
                               FleetOutbox& outbox) {
-  const Turn turn = this->Begin(now, outbox);
+  const CallContext context = this->BeginCall(now, outbox);
   const bool listed = this->members.Listed(from);
   if (const InstanceView* view = this->members.Find(from);
       view != nullptr && listed && from != this->self.id) {
@@ -77,51 +79,52 @@
     std::visit(
         [&](const auto& body) {
           using Body = std::decay_t<decltype(body)>;
-          if constexpr (!kIsForFlows<Body>) {
-            this->Take(sender, body, turn);
+          if constexpr (!kIsFlowMessage<Body>) {
+            this->Handle(sender, body, context);
           }
         },
         message);
   } else {
-    ++this->strangers_ignored;
+    ++this->unlisted_ignored;
   }
-  this->Finish(turn);
+  this->EndCall(context);
 }
 
 void LiveFleet::OnTargetProbed(common::TargetId target, TargetHealth health,
                                std::chrono::milliseconds now,
                                FleetOutbox& outbox) {
-  const Turn turn = this->Begin(now, outbox);
-  this->reports.OnTargetProbed(target, health, turn);
-  this->Finish(turn);
+  const CallContext context = this->BeginCall(now, outbox);
+  this->reports.OnTargetProbed(target, health, context);
+  this->EndCall(context);
 }
 
 void LiveFleet::OnTick(std::chrono::milliseconds now, FleetOutbox& outbox) {
-  const Turn turn = this->Begin(now, outbox);
-  this->OfferHeldConfiguration(turn);
-  this->heartbeats.OnTick(turn, this->Policy(), this->HeartbeatContent(),
-                          this->ExtraPeers(turn));
+  const CallContext context = this->BeginCall(now, outbox);
+  this->OfferHeldConfiguration(context);
+  this->heartbeats.OnTick(context, this->Policy(), this->HeartbeatContent(),
+                          this->ExtraPeers(context));
   if (this->lease == Lease::kHeld) {
-    this->SpeakOfOthers(turn);
-    this->SpeakOfSelf(turn);
+    this->ReportPeers(context);
+    this->RefuteOwnSuspicions(context);
   }
-  this->RefreshMembers(turn);
+  this->RefreshMembers(context);
   this->UpdateNeighbours();
-  this->exchange.OnTick(turn);
+  this->exchange.OnTick(context);
   this->limiter.Flush(now, outbox.messages);
-  this->Finish(turn);
+  this->EndCall(context);
 }
 
 void LiveFleet::OnLeave(std::chrono::milliseconds now, FleetOutbox& outbox) {
-  const Turn turn = this->Begin(now, outbox);
+  const CallContext context = this->BeginCall(now, outbox);
   if (!this->leaving) {
     this->leaving = true;
     this->view_due = true;
-    this->reports.Spread(this->members.Say(this->self.id, MemberWord::kLeaving),
-                         turn);
-    this->RefreshMembers(turn);
+    this->reports.Spread(
+        this->members.IssueReport(this->self.id, MemberState::kLeaving),
+        context);
+    this->RefreshMembers(context);
   }
-  this->Finish(turn);
+  this->EndCall(context);
 }
 
 bool LiveFleet::WatchesPlatform() const { return this->platform.Watching(); }
@@ -141,7 +144,7 @@
   status.messages_limited = this->limiter.Limited();
   status.deltas_refused = this->exchange.Counts().deltas_refused;
   status.digest_conflicts = this->exchange.Counts().digest_conflicts;
-  status.strangers_ignored = this->strangers_ignored;
+  status.unlisted_ignored = this->unlisted_ignored;
   status.retries_denied = this->exchange.RetriesDenied();
   status.unreachable = this->unreachable;
   status.budgets = this->limiter.Status();
@@ -152,8 +155,9 @@
     member.domain = view.domain;
     member.incarnation = view.incarnation;
     member.use = view.use;
-    if (const Accusers* accusers = this->members.AccusersOf(view.id)) {
-      member.suspected_by = *accusers;
+    if (const SuspectingInstances* suspecting =
+            this->members.SuspectingInstancesOf(view.id)) {
+      member.suspected_by = *suspecting;
     }
     member.configuration =
         this->exchange.KnownOf(view.id, DocumentKind::kConfiguration).revision;
@@ -168,141 +172,147 @@
   return this->documents.ConfigurationInForce().policy;
 }
 
-Turn LiveFleet::Begin(std::chrono::milliseconds now, FleetOutbox& outbox) {
-  const Turn turn{now, outbox, this->limiter};
-  if (this->lease_keeper.Observe(now, this->Policy())) {
-    this->heartbeats.Restart(now);
-    this->PublishView(turn);
+CallContext LiveFleet::BeginCall(std::chrono::milliseconds now,
+                                 FleetOutbox& outbox) {
+  const CallContext context{now, outbox, this->limiter};
+  if (this->lease_keeper.DetectPause(now, this->Policy())) {
+    this->heartbeats.RestartSilences(now);
+    this->PublishView(context);
   }
-  return turn;
+  return context;
 }
 
-void LiveFleet::Finish(const Turn& turn) {
-  this->WantPlatform(turn.now);
+void LiveFleet::EndCall(const CallContext& context) {
+  this->UpdatePlatformWatch(context.now);
   std::vector<common::DomainId> silent =
       UnreachableDomains(this->plan, this->reports.Reachability());
   if (silent != this->unreachable) {
     this->unreachable = std::move(silent);
     this->view_due = true;
   }
-  this->PublishView(turn);
+  this->PublishView(context);
 }
 
-void LiveFleet::Take(const InstanceView& from, const Heartbeat& message,
-                     const Turn& turn) {
-  // Two processes at one address during a replacement: the old one's words
-  // would keep the new one's predecessor alive in everybody's eyes.
+void LiveFleet::Handle(const InstanceView& from, const Heartbeat& message,
+                       const CallContext& context) {
+  // During a replacement two processes may run at one address. Heartbeats of
+  // the old one must not count as signs of life of the new one.
   if (message.incarnation.value < from.incarnation.value) {
     return;
   }
-  this->exchange.OnDigests(from.id, message.digests, turn);
+  this->exchange.OnDigests(from.id, message.digests, context);
   this->reports.OnHashes(from.id, from.domain == this->self.domain, message,
-                         turn);
+                         context);
   if (!message.answer) {
     Heartbeat answer = this->HeartbeatContent();
     answer.answer = true;
     answer.sequence = message.sequence;
-    turn.Send(from.id, std::move(answer));
+    context.Send(from.id, std::move(answer));
     return;
   }
-  const auto asked_at = this->heartbeats.OnAnswer(from.id, from.domain,
-                                                  message.sequence, turn.now);
+  const auto asked_at = this->heartbeats.OnAnswer(
+      from.id, from.domain, message.sequence, context.now);
   if (!asked_at) {
     return;
   }
   if (!message.stale) {
-    // A woken instance doesn't know yet that it was suspected and replaced. If
-    // it took its lease back before the others' words, it would place flows
-    // beside the new owner, and requests would run twice.
+    // After a pause, an instance doesn't know yet that it was suspected and
+    // replaced. If it regained its lease before it had its peers' member
+    // reports, it would place flows beside the new owner, and requests would
+    // run twice.
     if (this->lease != Lease::kHeld) {
-      this->RefreshMembers(turn);
+      this->RefreshMembers(context);
     }
     const bool same_members = message.members == this->reports.MembersHash();
-    this->lease_keeper.OnPeerWord(
+    this->lease_keeper.OnPeerAnswer(
         *asked_at, same_members && this->CaughtUpWith(message.digests));
   }
   if (this->members.Suspects(from.id)) {
-    this->reports.Spread(this->members.Say(from.id, MemberWord::kAlive), turn);
+    this->reports.Spread(
+        this->members.IssueReport(from.id, MemberState::kAlive), context);
   }
 }
 
-void LiveFleet::Take(const InstanceView& from, const MemberReport& message,
-                     const Turn& turn) {
-  const bool is_new = this->reports.OnReport(from.id, message, turn);
+void LiveFleet::Handle(const InstanceView& from, const MemberReport& message,
+                       const CallContext& context) {
+  const bool is_new = this->reports.OnReport(from.id, message, context);
   if (is_new && message.about == message.by) {
-    this->heartbeats.Excuse(message.about, turn.now);
+    this->heartbeats.RestartSilence(message.about, context.now);
   }
 }
 
-void LiveFleet::Take(const InstanceView& from,
-                     const ReachabilityReport& message, const Turn& turn) {
+void LiveFleet::Handle(const InstanceView& from,
+                       const ReachabilityReport& message,
+                       const CallContext& context) {
   if (from.domain == this->self.domain) {
-    this->reports.OnReport(from.id, message, turn);
+    this->reports.OnReport(from.id, message, context);
   }
 }
 
-void LiveFleet::Take(const InstanceView& from,
-                     const TargetHealthChange& message, const Turn& turn) {
+void LiveFleet::Handle(const InstanceView& from,
+                       const TargetHealthChange& message,
+                       const CallContext& context) {
   if (from.domain == this->self.domain) {
-    this->reports.OnReport(from.id, message, turn);
+    this->reports.OnReport(from.id, message, context);
   }
 }
 
-void LiveFleet::Take(const InstanceView& from, const DocumentRequest& message,
-                     const Turn& turn) {
-  this->exchange.OnRequest(from.id, message, turn);
+void LiveFleet::Handle(const InstanceView& from, const DocumentRequest& message,
+                       const CallContext& context) {
+  this->exchange.OnRequest(from.id, message, context);
 }
 
-void LiveFleet::Take(const InstanceView& from, const DocumentDelta& message,
-                     const Turn& turn) {
-  if (this->exchange.OnDelta(from.id, message, turn)) {
-    this->AfterAccepted(message.kind, from.id, turn);
+void LiveFleet::Handle(const InstanceView& from, const DocumentDelta& message,
+                       const CallContext& context) {
+  if (this->exchange.OnDelta(from.id, message, context)) {
+    this->OnDocumentAccepted(message.kind, from.id, context);
   }
 }
 
-void LiveFleet::Take(const InstanceView& from, const DocumentCopy& message,
-                     const Turn& turn) {
-  if (this->exchange.OnCopy(from.id, message, turn)) {
-    this->AfterAccepted(message.document.kind, from.id, turn);
+void LiveFleet::Handle(const InstanceView& from, const DocumentCopy& message,
+                       const CallContext& context) {
+  if (this->exchange.OnCopy(from.id, message, context)) {
+    this->OnDocumentAccepted(message.document.kind, from.id, context);
   }
 }
 
-void LiveFleet::AfterAccepted(DocumentKind kind, common::InstanceId from,
-                              const Turn& turn) {
+void LiveFleet::OnDocumentAccepted(DocumentKind kind, common::InstanceId from,
+                                   const CallContext& context) {
   if (kind == DocumentKind::kConfiguration) {
     this->limiter.SetPolicy(this->Policy());
     this->members.SetWatchers(this->Policy().watchers);
     this->reports.SetConfiguration(this->documents.ConfigurationInForce());
-    this->Replan(turn.now);
+    this->Replan(context.now);
   } else {
     this->members.SetList(this->Instances());
-    this->reports.ForgetUnlisted();
+    this->reports.DropUnlisted();
     this->exchange.KeepOnly(this->Instances().instances);
-    this->RefreshMembers(turn);
-    this->Replan(turn.now);
+    this->RefreshMembers(context);
+    this->Replan(context.now);
   }
-  std::vector<common::InstanceId> neighbours = this->plan.Told();
+  std::vector<common::InstanceId> neighbours = this->plan.RelayPeers();
   for (const common::InstanceId id : this->link_partners) {
-    AddOnce(neighbours, id);
+    AddUnique(neighbours, id);
   }
   for (const common::InstanceId id : neighbours) {
-    if (id != from && !this->exchange.Push(id, kind, turn)) {
-      this->heartbeats.Ask(turn, id, this->HeartbeatContent());
+    if (id != from && !this->exchange.Push(id, kind, context)) {
+      this->heartbeats.SendRequest(context, id, this->HeartbeatContent());
     }
   }
 }
 
-void LiveFleet::OfferHeldConfiguration(const Turn& turn) {
+void LiveFleet::OfferHeldConfiguration(const CallContext& context) {
   const DocumentStore& store =
       this->documents.Store(DocumentKind::kConfiguration);
   const JoinState state{
       store.Current().revision.value != 0,
       this->Instances().revision.value != 0 && this->ListedPeers() == 0};
-  std::optional<Document> held = this->join_gate.Release(state, turn.now);
-  if (held && this->documents.Offer(std::move(*held), common::InstanceId{},
-                                    turn.outbox) == OfferOutcome::kAccepted) {
-    this->AfterAccepted(DocumentKind::kConfiguration, common::InstanceId{},
-                        turn);
+  std::optional<Document> held = this->join_gate.Release(state, context.now);
+  if (held &&
+      this->documents.Offer(std::move(*held), common::InstanceId{},
+                            context.outbox) == OfferOutcome::kAccepted) {
+    this->OnDocumentAccepted(DocumentKind::kConfiguration, common::InstanceId{},
+                             context);
   }
 }
 
@@ -327,9 +337,10 @@
   return content;
 }
 
-std::vector<common::InstanceId> LiveFleet::ExtraPeers(const Turn& turn) {
-  std::vector<common::InstanceId> extra = this->plan.asked;
-  if (!this->lease_keeper.ShouldAsk(turn.now, this->Policy())) {
+std::vector<common::InstanceId> LiveFleet::ExtraPeers(
+    const CallContext& context) {
+  std::vector<common::InstanceId> extra = this->plan.extra_peers;
+  if (!this->lease_keeper.HalfExpired(context.now, this->Policy())) {
     return extra;
   }
   std::vector<common::InstanceId> candidates;
@@ -339,33 +350,34 @@
     }
   }
   for (std::size_t i = 0; i < kExtraPeers && !candidates.empty(); ++i) {
-    AddOnce(extra, candidates[static_cast<std::size_t>(
-                       this->jitter.Below(candidates.size()))]);
+    AddUnique(extra, candidates[static_cast<std::size_t>(
+                         this->jitter.Below(candidates.size()))]);
   }
   return extra;
 }
 
-void LiveFleet::SpeakOfOthers(const Turn& turn) {
+void LiveFleet::ReportPeers(const CallContext& context) {
   for (const common::InstanceId id : this->plan.watched) {
-    if (this->heartbeats.Silent(id, turn.now, this->Policy()) &&
+    if (this->heartbeats.IsSilent(id, context.now, this->Policy()) &&
         !this->members.Suspects(id)) {
-      this->reports.Spread(this->members.Say(id, MemberWord::kSuspected), turn);
+      this->reports.Spread(
+          this->members.IssueReport(id, MemberState::kSuspected), context);
     }
   }
   for (const LinkState& link :
-       this->heartbeats.Links(turn.now, this->Policy())) {
-    this->reports.SayReachable(link.domain, link.reachable, turn);
+       this->heartbeats.Links(context.now, this->Policy())) {
+    this->reports.ReportReachability(link.domain, link.reachable, context);
   }
 }
 
-void LiveFleet::SpeakOfSelf(const Turn& turn) {
-  if (turn.now < this->next_answer) {
+void LiveFleet::RefuteOwnSuspicions(const CallContext& context) {
+  if (context.now < this->next_refutation) {
     return;
   }
-  if (const auto answer = this->members.AnswerSuspicions()) {
-    // At most one answer in the time that watchers need for a new suspicion.
-    this->next_answer = turn.now + this->Policy().suspect_after;
-    this->reports.Spread(*answer, turn);
+  if (const auto answer = this->members.RefuteSuspicions()) {
+    // At most one refutation in the time that a new suspicion takes.
+    this->next_refutation = context.now + this->Policy().suspect_after;
+    this->reports.Spread(*answer, context);
   }
 }
 
@@ -377,26 +389,27 @@
 
 void LiveFleet::UpdateNeighbours() {
   this->link_partners = this->heartbeats.LinkPartners();
-  this->reports.SetNeighbours({this->plan.Told(), this->link_partners});
+  this->reports.SetNeighbours({this->plan.RelayPeers(), this->link_partners});
 }
 
-void LiveFleet::RefreshMembers(const Turn& turn) {
-  if (this->members.Refresh(turn.now, turn.outbox.decisions)) {
+void LiveFleet::RefreshMembers(const CallContext& context) {
+  if (this->members.Refresh(context.now, context.outbox.decisions)) {
     this->view_due = true;
-    this->Replan(turn.now);
+    this->Replan(context.now);
   }
 }
 
-void LiveFleet::WantPlatform(std::chrono::milliseconds now) {
+void LiveFleet::UpdatePlatformWatch(std::chrono::milliseconds now) {
   const bool complete = this->documents.Complete();
-  const bool silent = this->lease_keeper.ShouldAsk(now, this->Policy());
+  const bool silent = this->lease_keeper.HalfExpired(now, this->Policy());
   const bool needed = !complete || silent || this->plan.reader ||
                       !this->members.Listed(this->self.id);
-  // A watch opened now would be answered at once, with the document that is
-  // held, and so would the next one: a joining instance would read the platform
-  // hundreds of times a second.
+  // While the join gate holds a document, any watch would be answered with that
+  // document at once: a joining instance would read the platform hundreds of
+  // times a second.
   const bool wanted = needed && !this->join_gate.Holding();
-  this->platform.Want(wanted, now, complete ? kTakeOverSpread : kStartSpread);
+  this->platform.SetWanted(wanted, now,
+                           complete ? kTakeOverSpread : kStartSpread);
 }
 
 std::size_t LiveFleet::ListedPeers() const {
@@ -404,19 +417,19 @@
   return views - 1;  // This instance is always among them.
 }
 
-void LiveFleet::PublishView(const Turn& turn) {
-  Lease next = this->lease_keeper.Evaluate(turn.now, this->Policy(),
+void LiveFleet::PublishView(const CallContext& context) {
+  Lease next = this->lease_keeper.Evaluate(context.now, this->Policy(),
                                            this->ListedPeers());
   if (!this->documents.Complete()) {
     next = Lease::kStale;
   }
   if (next != this->lease) {
     if (next == Lease::kHeld) {
-      this->heartbeats.Restart(turn.now);
+      this->heartbeats.RestartSilences(context.now);
     }
     this->lease = next;
     this->view_due = true;
-    turn.outbox.decisions.emplace_back(LeaseChanged{next});
+    context.outbox.decisions.emplace_back(LeaseChanged{next});
   }
   if (!this->view_due) {
     return;
@@ -429,7 +442,7 @@
   view.leaving = this->leaving;
   view.instances = this->members.Views();
   view.unreachable = this->unreachable;
-  turn.outbox.view = std::move(view);
+  context.outbox.view = std::move(view);
 }
 
 std::unique_ptr<Fleet> MakeFleet(const SelfIdentity& self,
--- a/source/core/fleet/live_fleet.h
+++ b/source/core/fleet/live_fleet.h
@@ -1,9 +1,10 @@
-/// The fleet of this product: joins documents, members, lease and budgets of
-/// one instance.
+/// The implementation of `Fleet`: connects documents, members, heartbeats,
+/// lease and budgets of one instance.
 #pragma once
 
 #include <vector>
 
+#include "core/fleet/call_context.h"
 #include "core/fleet/document_exchange.h"
 #include "core/fleet/documents_in_force.h"
 #include "core/fleet/fleet.h"
@@ -15,7 +16,6 @@
 #include "core/fleet/platform_watch.h"
 #include "core/fleet/report_exchange.h"
 #include "core/fleet/send_limiter.h"
-#include "core/fleet/turn.h"
 
 namespace sassafrasdyke::core {
 
@@ -44,38 +44,38 @@
 
  private:
   const FleetPolicy& Policy() const;
-  Turn Begin(std::chrono::milliseconds now, FleetOutbox& outbox);
-  void Finish(const Turn& turn);
+  CallContext BeginCall(std::chrono::milliseconds now, FleetOutbox& outbox);
+  void EndCall(const CallContext& context);
 
-  void Take(const InstanceView& from, const Heartbeat& message,
-            const Turn& turn);
-  void Take(const InstanceView& from, const MemberReport& message,
-            const Turn& turn);
-  void Take(const InstanceView& from, const ReachabilityReport& message,
-            const Turn& turn);
-  void Take(const InstanceView& from, const TargetHealthChange& message,
-            const Turn& turn);
-  void Take(const InstanceView& from, const DocumentRequest& message,
-            const Turn& turn);
-  void Take(const InstanceView& from, const DocumentDelta& message,
-            const Turn& turn);
-  void Take(const InstanceView& from, const DocumentCopy& message,
-            const Turn& turn);
+  void Handle(const InstanceView& from, const Heartbeat& message,
+              const CallContext& context);
+  void Handle(const InstanceView& from, const MemberReport& message,
+              const CallContext& context);
+  void Handle(const InstanceView& from, const ReachabilityReport& message,
+              const CallContext& context);
+  void Handle(const InstanceView& from, const TargetHealthChange& message,
+              const CallContext& context);
+  void Handle(const InstanceView& from, const DocumentRequest& message,
+              const CallContext& context);
+  void Handle(const InstanceView& from, const DocumentDelta& message,
+              const CallContext& context);
+  void Handle(const InstanceView& from, const DocumentCopy& message,
+              const CallContext& context);
 
-  void AfterAccepted(DocumentKind kind, common::InstanceId from,
-                     const Turn& turn);
-  void OfferHeldConfiguration(const Turn& turn);
+  void OnDocumentAccepted(DocumentKind kind, common::InstanceId from,
+                          const CallContext& context);
+  void OfferHeldConfiguration(const CallContext& context);
   bool CaughtUpWith(const std::vector<DocumentDigest>& digests) const;
   Heartbeat HeartbeatContent() const;
-  std::vector<common::InstanceId> ExtraPeers(const Turn& turn);
-  void SpeakOfOthers(const Turn& turn);
-  void SpeakOfSelf(const Turn& turn);
+  std::vector<common::InstanceId> ExtraPeers(const CallContext& context);
+  void ReportPeers(const CallContext& context);
+  void RefuteOwnSuspicions(const CallContext& context);
   void Replan(std::chrono::milliseconds now);
   void UpdateNeighbours();
-  void RefreshMembers(const Turn& turn);
-  void WantPlatform(std::chrono::milliseconds now);
+  void RefreshMembers(const CallContext& context);
+  void UpdatePlatformWatch(std::chrono::milliseconds now);
   std::size_t ListedPeers() const;
-  void PublishView(const Turn& turn);
+  void PublishView(const CallContext& context);
 
   SelfIdentity self;
   DocumentsInForce documents;
@@ -93,8 +93,8 @@
   Lease lease{Lease::kStale};
   bool leaving{false};
   bool view_due{true};
-  std::chrono::milliseconds next_answer{0};
-  std::uint64_t strangers_ignored{0};
+  std::chrono::milliseconds next_refutation{0};
+  std::uint64_t unlisted_ignored{0};
   JoinGate join_gate;
 };
 
--- a/source/core/fleet/member_reports.h
+++ b/source/core/fleet/member_reports.h
@@ -1,4 +1,5 @@
-/// Everybody's words on the members, and which suspicions are confirmed.
+/// The instances' reports on each other's liveness, and the rules by which a
+/// suspicion is confirmed.
 #pragma once
 
 #include <cstddef>
@@ -14,7 +15,7 @@
 
 namespace sassafrasdyke::core {
 
-/// How member reports are kept: one for each pair of instances.
+/// Table traits: one member report for each pair (subject, reporter).
 struct MemberReportTraits {
   using Record = MemberReport;
   using Key = std::pair<common::InstanceId, common::InstanceId>;
@@ -26,34 +27,36 @@
 
 using MemberReportTable = VersionedTable<MemberReportTraits>;
 
-/// The instances that suspect an instance.
-using Accusers = std::vector<common::InstanceId>;
+/// The instances that suspect one instance, sorted by id.
+using SuspectingInstances = std::vector<common::InstanceId>;
 
-/// What the reports say of the listed instances.
-struct MemberVerdicts {
-  /// Suspicions that hold against the instance's own last word.
-  std::map<common::InstanceId, Accusers> accused;
-  /// Those that are confirmed, with the instances that confirm them.
-  std::map<common::InstanceId, Accusers> confirmed;
+/// Suspicions of listed instances, by the suspected instance.
+struct Suspicions {
+  /// Suspicions that the instance's newest report on itself doesn't refute.
+  std::map<common::InstanceId, SuspectingInstances> active;
+  /// Confirmed suspicions, with the instances that count towards confirmation.
+  std::map<common::InstanceId, SuspectingInstances> confirmed;
 };
 
-/// The incarnation of `instance` that is believed: the listed one, or a later
-/// one that has spoken for itself.
-common::Incarnation BelievedIncarnation(const Instance& instance,
-                                        const MemberReportTable& reports);
-
-/// Judges all suspicions. A suspicion is confirmed by two instances of the
-/// suspected one's failure domain, or by one where no second unsuspected
-/// witness exists or only one is to watch (`watchers`, as published). Everyone
-/// with the same list, reports and policy judges alike.
-MemberVerdicts Judge(const InstanceList& list, const MemberReportTable& reports,
-                     std::size_t watchers);
-
-/// True when the report concerns listed instances and no life before the
-/// listed one.
-bool Concerns(const InstanceList& list, const MemberReport& report);
-
-/// The entry of `id`, or nothing.
+/// The newest known incarnation of `instance`: the listed one, or a later one
+/// that has reported on itself.
+common::Incarnation CurrentIncarnation(const Instance& instance,
+                                       const MemberReportTable& reports);
+
+/// Determines which suspicions are active and which are confirmed. Confirmation
+/// takes two instances of the suspected one's failure domain, or one where the
+/// domain has no second unsuspected peer or the policy sets one watcher
+/// (`watchers`). Instances with the same list, reports and policy get the same
+/// result.
+Suspicions EvaluateSuspicions(const InstanceList& list,
+                              const MemberReportTable& reports,
+                              std::size_t watchers);
+
+/// True when subject and reporter are listed and the report isn't on an
+/// incarnation older than the listed one.
+bool ConcernsListed(const InstanceList& list, const MemberReport& report);
+
+/// The list entry of `id`, or nullptr.
 const Instance* FindInstance(const InstanceList& list, common::InstanceId id);
 
 }  // namespace sassafrasdyke::core
--- a/source/core/fleet/members.cc
+++ b/source/core/fleet/members.cc
@@ -31,7 +31,7 @@
 void Members::SetList(const InstanceList& list) {
   this->list = list;
   this->reports.EraseIf([this](const MemberReport& report) {
-    return !Concerns(this->list, report);
+    return !ConcernsListed(this->list, report);
   });
   // Thousands of instances are replaced in a day, under new ids; whatever is
   // kept of the old ones would fill the memory over weeks.
@@ -46,76 +46,78 @@
 }
 
 bool Members::Merge(const MemberReport& report) {
-  if (!Concerns(this->list, report) || !this->reports.Merge(report)) {
+  if (!ConcernsListed(this->list, report) || !this->reports.Merge(report)) {
     return false;
   }
   this->dirty = true;
   return true;
 }
 
-MemberReport Members::Say(common::InstanceId about, MemberWord word) {
+MemberReport Members::IssueReport(common::InstanceId about, MemberState state) {
   MemberReport report;
   report.about = about;
   report.by = this->self.id;
-  report.word = word;
+  report.state = state;
   const Instance* listed = FindInstance(this->list, about);
   const bool of_self = about == this->self.id;
   if (of_self) {
     report.incarnation = this->self.incarnation;
   } else if (listed != nullptr) {
-    report.incarnation = BelievedIncarnation(*listed, this->reports);
+    report.incarnation = CurrentIncarnation(*listed, this->reports);
   }
   const MemberReport* last = this->reports.Find({about, this->self.id});
   report.version = last == nullptr ? 1 : last->version + 1;
   const MemberReport* own = this->reports.Find({about, about});
   if (!of_self && own != nullptr && own->incarnation == report.incarnation) {
-    report.own_version = own->version;
+    report.self_report_version = own->version;
   }
   this->Merge(report);
   return report;
 }
 
-std::optional<MemberReport> Members::AnswerSuspicions() {
+std::optional<MemberReport> Members::RefuteSuspicions() {
   const Instance* listed = FindInstance(this->list, this->self.id);
   if (listed == nullptr) {
     return std::nullopt;
   }
-  const common::Incarnation believed =
-      BelievedIncarnation(*listed, this->reports);
-  // The list still names the life before this one. Until it catches up, peers
-  // would take this instance for the old one and believe suspicions of it.
-  const bool taken_for_older = believed.value < this->self.incarnation.value;
-  if (!taken_for_older && !this->verdicts.accused.contains(this->self.id)) {
+  const common::Incarnation known = CurrentIncarnation(*listed, this->reports);
+  // The list still names the previous incarnation. Until it is updated, peers
+  // would apply suspicions of that incarnation to this one.
+  const bool outdated = known.value < this->self.incarnation.value;
+  if (!outdated && !this->suspicions.active.contains(this->self.id)) {
     return std::nullopt;
   }
   const MemberReport* last = this->reports.Find({this->self.id, this->self.id});
-  const bool leaves = last != nullptr && last->word == MemberWord::kLeaving &&
-                      last->incarnation == this->self.incarnation;
-  return this->Say(this->self.id,
-                   leaves ? MemberWord::kLeaving : MemberWord::kAlive);
+  const bool leaving = last != nullptr &&
+                       last->state == MemberState::kLeaving &&
+                       last->incarnation == this->self.incarnation;
+  return this->IssueReport(
+      this->self.id, leaving ? MemberState::kLeaving : MemberState::kAlive);
 }
 
 bool Members::Suspects(common::InstanceId about) const {
-  const Accusers* accusers = this->AccusersOf(about);
-  return accusers != nullptr && std::find(accusers->begin(), accusers->end(),
-                                          this->self.id) != accusers->end();
+  const SuspectingInstances* suspecting = this->SuspectingInstancesOf(about);
+  return suspecting != nullptr &&
+         std::find(suspecting->begin(), suspecting->end(), this->self.id) !=
+             suspecting->end();
 }
 
 bool Members::Refresh(std::chrono::milliseconds now,
                       std::vector<FleetDecision>& decisions) {
-  if (!this->dirty && !this->damper.Waiting()) {
+  if (!this->dirty && !this->damper.HasHistory()) {
     return false;
   }
   if (this->dirty) {
-    this->verdicts = Judge(this->list, this->reports, this->watchers);
+    this->suspicions =
+        EvaluateSuspicions(this->list, this->reports, this->watchers);
     this->dirty = false;
   }
-  std::vector<InstanceView> next = this->Judged(this->verdicts, now);
+  std::vector<InstanceView> next = this->ComputeViews(this->suspicions, now);
   if (std::equal(next.begin(), next.end(), this->views.begin(),
                  this->views.end(), Same)) {
     return false;
   }
-  this->LogChanges(next, this->verdicts, decisions);
+  this->LogChanges(next, this->suspicions, decisions);
   this->views = std::move(next);
   return true;
 }
@@ -128,49 +130,51 @@
   return FindInstance(this->list, id) != nullptr;
 }
 
-const Accusers* Members::AccusersOf(common::InstanceId id) const {
-  const auto found = this->verdicts.accused.find(id);
-  return found == this->verdicts.accused.end() ? nullptr : &found->second;
+const SuspectingInstances* Members::SuspectingInstancesOf(
+    common::InstanceId id) const {
+  const auto found = this->suspicions.active.find(id);
+  return found == this->suspicions.active.end() ? nullptr : &found->second;
 }
 
-std::vector<InstanceView> Members::Judged(const MemberVerdicts& verdicts,
-                                          std::chrono::milliseconds now) {
-  std::vector<InstanceView> judged;
+std::vector<InstanceView> Members::ComputeViews(const Suspicions& suspicions,
+                                                std::chrono::milliseconds now) {
+  std::vector<InstanceView> computed;
   for (const Instance& instance : this->list.instances) {
-    const bool suspected = this->damper.Held(
-        instance.id, verdicts.confirmed.contains(instance.id), now);
-    judged.push_back({instance.id, instance.domain,
-                      BelievedIncarnation(instance, this->reports),
-                      instance.tunnel, this->UseOf(instance, suspected)});
+    const bool suspected = this->damper.UpdateSuppression(
+        instance.id, suspicions.confirmed.contains(instance.id), now);
+    computed.push_back({instance.id, instance.domain,
+                        CurrentIncarnation(instance, this->reports),
+                        instance.tunnel, this->UseOf(instance, suspected)});
   }
-  this->AddSelf(judged);
-  return judged;
+  this->AddSelf(computed);
+  return computed;
 }
 
 InstanceUse Members::UseOf(const Instance& instance, bool suspected) const {
   if (suspected) {
     return InstanceUse::kSuspected;
   }
-  const common::Incarnation life = BelievedIncarnation(instance, this->reports);
+  const common::Incarnation current =
+      CurrentIncarnation(instance, this->reports);
   // This process was replaced and hasn't been stopped. Its successor owns the
   // partitions; two owners under one id would each place the same flows.
-  const bool replaced =
-      instance.id == this->self.id && life.value > this->self.incarnation.value;
+  const bool replaced = instance.id == this->self.id &&
+                        current.value > this->self.incarnation.value;
   const MemberReport* own = this->reports.Find({instance.id, instance.id});
-  const bool says_so = own != nullptr && own->incarnation == life &&
-                       own->word == MemberWord::kLeaving;
-  const bool published =
-      instance.state == InstanceState::kLeaving && instance.incarnation == life;
-  return replaced || says_so || published ? InstanceUse::kLeaving
-                                          : InstanceUse::kOwner;
+  const bool reported = own != nullptr && own->incarnation == current &&
+                        own->state == MemberState::kLeaving;
+  const bool published = instance.state == InstanceState::kLeaving &&
+                         instance.incarnation == current;
+  return replaced || reported || published ? InstanceUse::kLeaving
+                                           : InstanceUse::kOwner;
 }
 
 void Members::AddSelf(std::vector<InstanceView>& views) const {
   if (FindView(views, this->self.id) != nullptr) {
     return;
   }
-  // The list lags behind a newcomer: nobody else counts it among the owners
-  // yet. If it counted itself, two instances would own the same flows.
+  // A new instance runs before it is listed, and its peers don't count it as an
+  // owner yet. If it counted itself, two instances would own the same flows.
   const auto place =
       std::lower_bound(views.begin(), views.end(), this->self.id, IdLess);
   views.insert(place, {this->self.id,
@@ -181,7 +185,7 @@
 }
 
 void Members::LogChanges(const std::vector<InstanceView>& next,
-                         const MemberVerdicts& verdicts,
+                         const Suspicions& suspicions,
                          std::vector<FleetDecision>& decisions) const {
   for (const InstanceView& view : next) {
     const InstanceView* before = this->Find(view.id);
@@ -190,8 +194,8 @@
       continue;
     }
     MemberChanged changed{view.id, view.use, {}};
-    if (const auto confirmed = verdicts.confirmed.find(view.id);
-        confirmed != verdicts.confirmed.end()) {
+    if (const auto confirmed = suspicions.confirmed.find(view.id);
+        confirmed != suspicions.confirmed.end()) {
       changed.confirmed_by = confirmed->second;
     }
     decisions.emplace_back(std::move(changed));
--- a/source/core/fleet/members.h
+++ b/source/core/fleet/members.h
@@ -1,4 +1,5 @@
-/// Who is in the fleet and what each instance is good for.
+/// The members of the fleet and how each may be used: as an owner, while
+/// leaving, or not at all while suspected.
 #pragma once
 
 #include <chrono>
@@ -15,40 +16,43 @@
 
 namespace sassafrasdyke::core {
 
-/// Joins the published list, which lags, with everybody's words.
+/// Combines the published instance list, which lags behind, with the member
+/// reports.
 class Members {
  public:
   explicit Members(const SelfIdentity& self);
 
-  /// Takes a newer list; words on unlisted instances are forgotten.
+  /// Sets a newer list and drops reports on or from unlisted instances and on
+  /// incarnations older than the listed one.
   void SetList(const InstanceList& list);
 
-  /// Takes how many peers watch each instance.
+  /// Sets how many peers watch each instance.
   void SetWatchers(std::size_t watchers);
 
-  /// Takes a report. True when it is new here and shall be passed on.
+  /// Merges a report. True when it was new and should be relayed.
   bool Merge(const MemberReport& report);
 
-  /// What this instance has to say about `about` now; merged already.
-  MemberReport Say(common::InstanceId about, MemberWord word);
+  /// Makes this instance's next report on `about` and merges it.
+  MemberReport IssueReport(common::InstanceId about, MemberState state);
 
-  /// This instance's answer to a suspicion of itself, or to words of an earlier
-  /// life that the list still names; nothing when there is nothing to answer.
-  std::optional<MemberReport> AnswerSuspicions();
+  /// Reports on this instance itself if others suspect it or still know only an
+  /// earlier incarnation; nothing if there is nothing to refute.
+  std::optional<MemberReport> RefuteSuspicions();
 
-  /// True when a suspicion by this instance holds against `about`.
+  /// True when this instance's own suspicion of `about` is active.
   bool Suspects(common::InstanceId about) const;
 
-  /// Judges again at `now` and appends what changed. True when any view did.
+  /// Recomputes the views at `now` and appends the changes to `decisions`. True
+  /// when any view changed.
   bool Refresh(std::chrono::milliseconds now,
                std::vector<FleetDecision>& decisions);
 
-  /// Everyone, this instance included, sorted by id.
+  /// All members including this instance, sorted by id.
   const std::vector<InstanceView>& Views() const { return this->views; }
   const InstanceView* Find(common::InstanceId id) const;
   /// True when the published list names the instance.
   bool Listed(common::InstanceId id) const;
-  const Accusers* AccusersOf(common::InstanceId id) const;
+  const SuspectingInstances* SuspectingInstancesOf(common::InstanceId id) const;
 
   std::uint64_t Digest() const { return this->reports.Digest(); }
   std::vector<MemberReport> Page(MemberReportTable::Cursor& cursor,
@@ -57,19 +61,19 @@
   }
 
  private:
-  std::vector<InstanceView> Judged(const MemberVerdicts& verdicts,
-                                   std::chrono::milliseconds now);
+  std::vector<InstanceView> ComputeViews(const Suspicions& suspicions,
+                                         std::chrono::milliseconds now);
   InstanceUse UseOf(const Instance& instance, bool suspected) const;
   void AddSelf(std::vector<InstanceView>& views) const;
   void LogChanges(const std::vector<InstanceView>& next,
-                  const MemberVerdicts& verdicts,
+                  const Suspicions& suspicions,
                   std::vector<FleetDecision>& decisions) const;
 
   SelfIdentity self;
   InstanceList list;
   MemberReportTable reports;
   FlapDamper damper;
-  MemberVerdicts verdicts;
+  Suspicions suspicions;
   std::vector<InstanceView> views;
   std::size_t watchers{FleetPolicy{}.watchers};
   bool dirty{true};
--- a/source/core/fleet/message_size.cc
+++ b/source/core/fleet/message_size.cc
@@ -5,9 +5,10 @@
 namespace sassafrasdyke::core {
 namespace {
 
-/// Header of a DATA frame, our own length, and the array and type that wrap a
-/// message.
+/// Header of an HTTP/2 DATA frame, length prefix of the message, and the
+/// MessagePack array and type number around its fields.
 constexpr std::size_t kFrameBytes = 9 + 4 + 2;
+/// The header of a short array or string, a flag or a small enumerator.
 constexpr std::size_t kSmallBytes = 1;
 
 std::size_t Size(std::uint64_t number) {
@@ -66,7 +67,7 @@
 std::size_t Size(const MemberReport& message) {
   return Size(message.about.value) + Size(message.incarnation.value) +
          Size(message.by.value) + Size(message.version) +
-         Size(message.own_version) + kSmallBytes;
+         Size(message.self_report_version) + kSmallBytes;
 }
 
 std::size_t Size(const DocumentRequest& message) {
--- a/source/core/fleet/peer_plan.cc
+++ b/source/core/fleet/peer_plan.cc
@@ -11,8 +11,8 @@
 using Ids = std::vector<common::InstanceId>;
 using IdsByDomain = std::map<common::DomainId, Ids>;
 
-/// Owners of each domain; all instances where none is an owner, because one of
-/// them may still answer.
+/// The owners of each domain; all its instances where none is an owner, because
+/// one of them may still answer.
 IdsByDomain UsableByDomain(const std::vector<InstanceView>& members) {
   IdsByDomain owners;
   IdsByDomain all;
@@ -30,7 +30,7 @@
   return owners;
 }
 
-/// The same for both directions.
+/// A key for a pair of domains, the same in both directions.
 std::uint64_t PairKey(common::DomainId left, common::DomainId right) {
   constexpr unsigned kHalf = 32;
   const std::uint64_t low = std::min(left.value, right.value);
@@ -42,7 +42,8 @@
   return std::find(ids.begin(), ids.end(), id) != ids.end();
 }
 
-/// Partners of the link with `rank`: the two links start at different ones.
+/// Partners of the link with `rank`, rotated by `rank` so that the domain's
+/// links start with different partners.
 Ids PartnersFrom(const Ids& usable, std::uint64_t pair, std::size_t rank) {
   Ids partners = Choose(usable, ChosenRole::kLink, pair, usable.size());
   const std::size_t first = rank % partners.size();
@@ -64,17 +65,18 @@
   }
 }
 
-/// A few instances are chosen to watch nobody. Nobody's answers would then
-/// renew their leases, and they would all fall back on reading the platform.
+/// Some instances are chosen to watch few or no peers. With no answers to renew
+/// their leases they would all fall back on reading the platform, so they also
+/// send heartbeats to their own watchers.
 void AddWatchers(const SelfIdentity& self, const Ids& usable,
                  std::size_t watchers, PeerPlan& plan) {
   Ids others = usable;
   std::erase(others, self.id);
   plan.watchers = Choose(others, ChosenRole::kWatcher, self.id.value, watchers);
   for (const common::InstanceId id : plan.watchers) {
-    if (plan.watched.size() + plan.asked.size() < kLeastAsked &&
+    if (plan.watched.size() + plan.extra_peers.size() < kMinHeartbeatPeers &&
         !Contains(plan.watched, id)) {
-      plan.asked.push_back(id);
+      plan.extra_peers.push_back(id);
     }
   }
 }
@@ -99,10 +101,10 @@
 
 }  // namespace
 
-std::vector<common::InstanceId> PeerPlan::Told() const {
-  std::vector<common::InstanceId> told = this->watched;
-  told.insert(told.end(), this->asked.begin(), this->asked.end());
-  return told;
+std::vector<common::InstanceId> PeerPlan::RelayPeers() const {
+  std::vector<common::InstanceId> peers = this->watched;
+  peers.insert(peers.end(), this->extra_peers.begin(), this->extra_peers.end());
+  return peers;
 }
 
 PeerPlan MakePeerPlan(const SelfIdentity& self,
--- a/source/core/fleet/peer_plan.h
+++ b/source/core/fleet/peer_plan.h
@@ -1,4 +1,5 @@
-/// Which peers this instance talks to, computed from the members alone.
+/// Which peers this instance communicates with, computed from the members and
+/// the policy without coordination.
 #pragma once
 
 #include <vector>
@@ -12,19 +13,20 @@
 /// A link to another failure domain.
 struct DomainLink {
   common::DomainId domain;
-  /// Whom to talk to, best first; the next one when the first is silent.
+  /// Instances of that domain in order of preference; the next one is used when
+  /// the current one is silent.
   std::vector<common::InstanceId> partners;
 };
 
-/// The duties of one instance.
+/// The peers of one instance, by their role.
 struct PeerPlan {
-  std::vector<common::InstanceId> watched;   ///< By this instance.
-  std::vector<common::InstanceId> watchers;  ///< Of this instance.
-  /// Further peers to ask, because this instance watches too few to live on
-  /// their answers.
-  std::vector<common::InstanceId> asked;
-  /// Peers of the own domain that news is passed on to.
-  std::vector<common::InstanceId> Told() const;
+  std::vector<common::InstanceId> watched;   ///< Watched by this instance.
+  std::vector<common::InstanceId> watchers;  ///< They watch this instance.
+  /// Further peers to send heartbeats to, when this instance watches too few
+  /// for their answers to renew its lease reliably.
+  std::vector<common::InstanceId> extra_peers;
+  /// Peers of the own domain that reports and documents are relayed to.
+  std::vector<common::InstanceId> RelayPeers() const;
 
   std::vector<DomainLink> links;
   /// Instances of the own domain that hold links to each other domain.
@@ -33,13 +35,15 @@
   bool reader{false};
 };
 
-/// Links that a failure domain holds to each other one.
+/// Links that a failure domain holds to each other domain.
 inline constexpr std::size_t kLinksPerDomain = 2;
 
-/// Peers whose answers renew the lease, where there are as many.
-inline constexpr std::size_t kLeastAsked = 2;
+/// Least number of peers to send heartbeats to in the own domain, where there
+/// are that many; their answers renew the lease.
+inline constexpr std::size_t kMinHeartbeatPeers = 2;
 
-/// Makes the plan; everyone with the same members makes plans that fit.
+/// Computes the plan. The plans of instances with the same members and policy
+/// are consistent with each other.
 PeerPlan MakePeerPlan(const SelfIdentity& self,
                       const std::vector<InstanceView>& members,
                       const FleetPolicy& policy);
--- a/source/core/fleet/platform_watch.cc
+++ b/source/core/fleet/platform_watch.cc
@@ -2,11 +2,11 @@
 
 namespace sassafrasdyke::core {
 
-void PlatformWatch::Want(bool wanted, std::chrono::milliseconds now,
-                         std::chrono::milliseconds spread) {
+void PlatformWatch::SetWanted(bool wanted, std::chrono::milliseconds now,
+                              std::chrono::milliseconds spread) {
   if (wanted && !this->wanted) {
-    // A rack that restarts would otherwise read the platform in the same
-    // millisecond, and its limit is counted over all readers.
+    // All instances of a rack that restarts would otherwise read the platform
+    // at the same moment, and its rate limit applies to all readers together.
     this->start_at = now + this->jitter.UpTo(spread);
   }
   this->wanted = wanted;
--- a/source/core/fleet/platform_watch.h
+++ b/source/core/fleet/platform_watch.h
@@ -1,4 +1,4 @@
-/// Decides when this instance holds the platform's watch.
+/// Decides when this instance holds a watch on the platform.
 #pragma once
 
 #include <chrono>
@@ -9,17 +9,18 @@
 
 namespace sassafrasdyke::core {
 
-/// Spreads the starts of watches and the repeats of failed ones.
+/// Delays the start of a watch by a random time, and the retry of a failed one
+/// by a back-off.
 class PlatformWatch {
  public:
   explicit PlatformWatch(std::uint64_t seed) : jitter(seed) {}
 
-  /// Takes whether the watch is wanted at `now`; it starts at a moment chosen
-  /// at random within `spread`.
-  void Want(bool wanted, std::chrono::milliseconds now,
-            std::chrono::milliseconds spread);
+  /// Sets whether the watch is wanted at `now`; a newly wanted one starts after
+  /// a random delay of up to `spread`.
+  void SetWanted(bool wanted, std::chrono::milliseconds now,
+                 std::chrono::milliseconds spread);
 
-  /// Takes how the last read ended.
+  /// Handles the result of the last read; a failure starts the back-off.
   void OnAnswer(bool reached, std::chrono::milliseconds now);
 
   bool Watching() const { return this->watching; }
--- a/source/core/fleet/reachability.cc
+++ b/source/core/fleet/reachability.cc
@@ -27,8 +27,8 @@
   std::vector<common::DomainId> unreachable;
   for (const auto& [domain, holders] : plan.link_holders) {
     const common::DomainId about = domain;
-    // One broken link is no partition; calling the domain unreachable would
-    // adopt its flows and place them a second time.
+    // A single broken link isn't a network partition; reporting the domain as
+    // unreachable would take over its flows and place them a second time.
     const bool all_say_so =
         !holders.empty() &&
         std::all_of(holders.begin(), holders.end(),
--- a/source/core/fleet/reachability.h
+++ b/source/core/fleet/reachability.h
@@ -1,4 +1,5 @@
-/// Which other failure domains answer, as the holders of links report it.
+/// Which other failure domains are reachable, as reported by the instances that
+/// hold links to them.
 #pragma once
 
 #include <cstddef>
@@ -12,7 +13,7 @@
 
 namespace sassafrasdyke::core {
 
-/// How reachability reports are kept: one for each domain and speaker.
+/// Table traits: one reachability report for each pair (domain, reporter).
 struct ReachabilityTraits {
   using Record = ReachabilityReport;
   using Key = std::pair<common::DomainId, common::InstanceId>;
@@ -28,7 +29,7 @@
 std::vector<common::DomainId> UnreachableDomains(
     const PeerPlan& plan, const ReachabilityTable& reports);
 
-/// The next report of `by` on `domain`; nothing is merged.
+/// The next report of `by` on `domain`; the table doesn't change.
 ReachabilityReport NextReport(const ReachabilityTable& reports,
                               common::DomainId domain, common::InstanceId by,
                               bool reachable);
--- a/source/core/fleet/report_exchange.cc
+++ b/source/core/fleet/report_exchange.cc
@@ -6,26 +6,27 @@
 namespace sassafrasdyke::core {
 namespace {
 
-/// Heartbeats with other hashes after which reports count as lost, rather than
-/// as still on their way.
-constexpr unsigned kHeartbeatsUntilHealing = 2;
-constexpr std::size_t kPage = 16;
-/// Healing is bounded over all peers: when a storm of reports has outrun the
-/// budget, every peer differs, and pages for all of them would only prolong it.
-constexpr std::chrono::milliseconds kBetweenPages{500};
+/// Heartbeats in a row with differing hashes after which reports count as lost
+/// rather than as still in flight.
+constexpr unsigned kMismatchesUntilRepair = 2;
+constexpr std::size_t kPageSize = 16;
+/// Least time between two pages, over all peers: when a burst of reports has
+/// exceeded the budget, every peer differs, and pages for all of them would
+/// only prolong the overload.
+constexpr std::chrono::milliseconds kRepairInterval{500};
 
 template <typename Report>
 void SendPage(common::InstanceId to, const std::vector<Report>& page,
-              const Turn& turn) {
+              const CallContext& context) {
   for (const Report& report : page) {
-    turn.Send(to, report);
+    context.Send(to, report);
   }
 }
 
-/// Counts heartbeats in a row that differ; true when it is time to heal.
-bool DiffersForLong(unsigned& count, bool differs) {
+/// Counts heartbeats in a row that differ; true when a repair is due.
+bool RepairDue(unsigned& count, bool differs) {
   count = differs ? count + 1 : 0;
-  return count >= kHeartbeatsUntilHealing;
+  return count >= kMismatchesUntilRepair;
 }
 
 }  // namespace
@@ -33,7 +34,7 @@
 ReportExchange::ReportExchange(common::InstanceId self, Members& members)
     : self(self), members(members) {}
 
-void ReportExchange::Healing::ForgetPages() {
+void ReportExchange::RepairState::ResetCursors() {
   this->members.reset();
   this->reachability.reset();
   this->health.reset();
@@ -54,8 +55,8 @@
   });
 }
 
-void ReportExchange::ForgetUnlisted() {
-  std::erase_if(this->healing, [this](const auto& item) {
+void ReportExchange::DropUnlisted() {
+  std::erase_if(this->repairs, [this](const auto& item) {
     return !this->members.Listed(item.first);
   });
   this->reachability.EraseIf([this](const ReachabilityReport& report) {
@@ -63,13 +64,14 @@
   });
 }
 
-void ReportExchange::Spread(const MemberReport& report, const Turn& turn) {
-  this->SendTo(this->neighbours.domain, this->self, report, turn);
-  this->SendTo(this->neighbours.links, this->self, report, turn);
+void ReportExchange::Spread(const MemberReport& report,
+                            const CallContext& context) {
+  this->SendTo(this->neighbours.domain, this->self, report, context);
+  this->SendTo(this->neighbours.links, this->self, report, context);
 }
 
-void ReportExchange::SayReachable(common::DomainId domain, bool reachable,
-                                  const Turn& turn) {
+void ReportExchange::ReportReachability(common::DomainId domain, bool reachable,
+                                        const CallContext& context) {
   const ReachabilityReport* last =
       this->reachability.Find({domain, this->self});
   const bool known = last == nullptr || last->reachable;
@@ -79,70 +81,74 @@
   const ReachabilityReport report =
       NextReport(this->reachability, domain, this->self, reachable);
   this->reachability.Merge(report);
-  this->SendTo(this->neighbours.domain, this->self, report, turn);
+  this->SendTo(this->neighbours.domain, this->self, report, context);
 }
 
 void ReportExchange::OnTargetProbed(common::TargetId target,
-                                    TargetHealth health, const Turn& turn) {
+                                    TargetHealth health,
+                                    const CallContext& context) {
   if (!IsChange(this->health, target, health)) {
     return;
   }
   this->OnReport(this->self,
-                 NextChange(this->health, target, health, this->self), turn);
+                 NextChange(this->health, target, health, this->self), context);
 }
 
 bool ReportExchange::OnReport(common::InstanceId from,
-                              const MemberReport& report, const Turn& turn) {
+                              const MemberReport& report,
+                              const CallContext& context) {
   if (!this->members.Merge(report)) {
     return false;
   }
-  this->SendTo(this->neighbours.domain, from, report, turn);
-  this->SendTo(this->neighbours.links, from, report, turn);
+  this->SendTo(this->neighbours.domain, from, report, context);
+  this->SendTo(this->neighbours.links, from, report, context);
   return true;
 }
 
 void ReportExchange::OnReport(common::InstanceId from,
                               const ReachabilityReport& report,
-                              const Turn& turn) {
+                              const CallContext& context) {
   if (this->members.Listed(report.by) && this->reachability.Merge(report)) {
-    this->SendTo(this->neighbours.domain, from, report, turn);
+    this->SendTo(this->neighbours.domain, from, report, context);
   }
 }
 
 void ReportExchange::OnReport(common::InstanceId from,
                               const TargetHealthChange& change,
-                              const Turn& turn) {
+                              const CallContext& context) {
   const bool published = std::binary_search(this->targets.begin(),
                                             this->targets.end(), change.target);
   if (!published || !this->health.Merge(change)) {
     return;
   }
-  turn.outbox.health.push_back(change);
-  this->SendTo(this->neighbours.domain, from, change, turn);
+  context.outbox.health.push_back(change);
+  this->SendTo(this->neighbours.domain, from, change, context);
 }
 
 void ReportExchange::OnHashes(common::InstanceId from, bool same_domain,
-                              const Heartbeat& heartbeat, const Turn& turn) {
-  Healing& state = this->healing[from];
-  const bool members_lost = DiffersForLong(
-      state.members_differ, heartbeat.members != this->MembersHash());
+                              const Heartbeat& heartbeat,
+                              const CallContext& context) {
+  RepairState& state = this->repairs[from];
+  const bool members_lost =
+      RepairDue(state.members_differ, heartbeat.members != this->MembersHash());
   const bool domain_lost =
-      same_domain && DiffersForLong(state.domain_differs,
-                                    heartbeat.health != this->DomainHash());
+      same_domain &&
+      RepairDue(state.domain_differs, heartbeat.health != this->DomainHash());
   if (!members_lost && !domain_lost) {
-    state.ForgetPages();
+    state.ResetCursors();
     return;
   }
-  if (turn.now < this->next_healing) {
+  if (context.now < this->next_repair) {
     return;
   }
-  this->next_healing = turn.now + kBetweenPages;
+  this->next_repair = context.now + kRepairInterval;
   if (members_lost) {
-    SendPage(from, this->members.Page(state.members, kPage), turn);
+    SendPage(from, this->members.Page(state.members, kPageSize), context);
   }
   if (domain_lost) {
-    SendPage(from, this->reachability.Page(state.reachability, kPage), turn);
-    SendPage(from, this->health.Page(state.health, kPage), turn);
+    SendPage(from, this->reachability.Page(state.reachability, kPageSize),
+             context);
+    SendPage(from, this->health.Page(state.health, kPageSize), context);
   }
 }
 
@@ -153,10 +159,10 @@
 template <typename Report>
 void ReportExchange::SendTo(const std::vector<common::InstanceId>& peers,
                             common::InstanceId except, const Report& report,
-                            const Turn& turn) const {
+                            const CallContext& context) const {
   for (const common::InstanceId peer : peers) {
     if (peer != except) {
-      turn.Send(peer, report);
+      context.Send(peer, report);
     }
   }
 }
--- a/source/core/fleet/retry_budget.cc
+++ b/source/core/fleet/retry_budget.cc
@@ -6,7 +6,7 @@
 
 void RetryBudget::OnRequest() { this->Earn(kSharePerRequest); }
 
-void RetryBudget::OnQuietTime() { this->Earn(kOneRetry); }
+void RetryBudget::EarnRetry() { this->Earn(kOneRetry); }
 
 bool RetryBudget::TakeRetry() {
   if (this->saved < kOneRetry) {
@@ -18,7 +18,7 @@
 }
 
 void RetryBudget::Earn(std::uint32_t share) {
-  this->saved = std::min(kMostSaved, this->saved + share);
+  this->saved = std::min(kMaxSaved, this->saved + share);
 }
 
 }  // namespace sassafrasdyke::core
--- a/source/core/fleet/retry_budget.h
+++ b/source/core/fleet/retry_budget.h
@@ -1,35 +1,35 @@
-/// Bounds repeats to a share of the first attempts.
+/// A retry budget: limits retries to a share of the first attempts.
 #pragma once
 
 #include <cstdint>
 
 namespace sassafrasdyke::core {
 
-/// Every first attempt earns a share of a repeat. While everything fails,
-/// repeats are then a small part of the load and can't multiply it.
+/// Every first attempt earns a fraction of a retry. Even when all requests
+/// fail, retries then add only a small share to the load.
 class RetryBudget {
  public:
   /// Counts a first attempt.
   void OnRequest();
 
-  /// Takes one repeat, or returns false when there are none left.
+  /// Spends one retry; false when none is left.
   bool TakeRetry();
 
-  /// Earns one repeat for a long quiet time, so that an instance that makes no
-  /// first attempts isn't left without any for ever.
-  void OnQuietTime();
+  /// Earns one retry. Called at a fixed interval, so that an instance without
+  /// first attempts isn't left without retries for good.
+  void EarnRetry();
 
   std::uint64_t Denied() const { return this->denied; }
 
  private:
   void Earn(std::uint32_t share);
 
-  std::uint32_t saved{kMostSaved};  ///< Hundredths of a repeat.
+  std::uint32_t saved{kMaxSaved};  ///< Hundredths of a retry.
   std::uint64_t denied{0};
 
   static constexpr std::uint32_t kOneRetry = 100;
   static constexpr std::uint32_t kSharePerRequest = 20;
-  static constexpr std::uint32_t kMostSaved = 10 * kOneRetry;
+  static constexpr std::uint32_t kMaxSaved = 10 * kOneRetry;
 };
 
 }  // namespace sassafrasdyke::core
--- a/source/core/fleet/send_limiter.cc
+++ b/source/core/fleet/send_limiter.cc
@@ -11,13 +11,13 @@
 
 constexpr std::size_t kPercent = 100;
 constexpr std::size_t kHeartbeatPercent = 45;
-constexpr std::size_t kMostWaiting = 256;
-constexpr std::chrono::milliseconds kLongestWait{5000};
+constexpr std::size_t kMaxQueued = 256;
+constexpr std::chrono::milliseconds kMaxWait{5000};
 
-/// Share of the budget that is left after exception copies, and the seconds of
-/// that share that may leave at once. A rack that dies makes some hundred
-/// reports, which everyone passes on three times; they must leave at once, or
-/// owners stay dead in some instances' eyes for as long as the queue is.
+/// The rate of one budget, as a share of what is left after exception copies,
+/// and its burst, in seconds at that rate. The failure of a rack causes some
+/// hundred reports, which every instance relays three times. They must be sent
+/// at once: while they queue, some instances still send flows to dead owners.
 struct LaneShape {
   MessageBudget budget;
   std::size_t percent;
@@ -32,18 +32,18 @@
     {MessageBudget::kHealth, 10, 20},
 }};
 
-/// A whole document is up to a megabyte and can't wait for a budget of
-/// kilobytes a second: a joining instance would be useless for minutes. Copies
-/// are rare, so they have a budget of their own; two may leave at once.
+/// A whole document is up to a megabyte. At a budget of kilobytes per second a
+/// joining instance would be useless for minutes. Copies are rare, so they have
+/// a budget of their own, whose burst holds at least two copies.
 constexpr common::BucketLimits kCopyLimits{.per_second = 65'536,
                                            .burst = 4'194'304};
 
-bool MayWait(MessageBudget budget) {
+bool MayQueue(MessageBudget budget) {
   return budget == MessageBudget::kMembers ||
          budget == MessageBudget::kRequests || budget == MessageBudget::kHealth;
 }
 
-/// What the published budget leaves beside exception copies.
+/// What the published budget leaves after exception copies.
 std::size_t ControlBytes(const FleetPolicy& policy) {
   return policy.control_bytes_per_second -
          std::min(policy.copy_bytes_per_second,
@@ -109,17 +109,18 @@
   Lane& lane = this->LaneOf(message.message);
   const std::size_t bytes = EstimatedBytes(message.message);
   if (lane.queue.empty() && lane.bucket.Take(bytes, now)) {
-    Leave(lane, bytes, std::move(message), out);
+    Emit(lane, bytes, std::move(message), out);
     return true;
   }
   ++lane.status.limited;
-  const bool may_wait = MayWait(lane.status.budget);
-  // An unbounded queue turns a slow hour into a full memory, and everything in
-  // it is old by the time it leaves. Digests in heartbeats heal what is lost.
-  if (!may_wait || lane.queue.size() >= kMostWaiting) {
-    // A delta that is held back is owed to the peer, not lost.
-    const bool owed = lane.status.budget == MessageBudget::kDeltas;
-    lane.status.dropped += owed ? 0 : 1;
+  const bool may_queue = MayQueue(lane.status.budget);
+  // An unbounded queue would exhaust memory during a long overload, and its
+  // messages would be outdated when sent. The digests in heartbeats make up for
+  // dropped messages.
+  if (!may_queue || lane.queue.size() >= kMaxQueued) {
+    // A refused delta isn't lost: `DocumentExchange` pushes it again later.
+    const bool deferred = lane.status.budget == MessageBudget::kDeltas;
+    lane.status.dropped += deferred ? 0 : 1;
     return false;
   }
   lane.queue.push_back({std::move(message), bytes, now});
@@ -130,11 +131,11 @@
                         std::vector<OutgoingMessage>& out) {
   for (Lane& lane : this->lanes) {
     while (!lane.queue.empty()) {
-      Waiting& first = lane.queue.front();
-      if (now - first.since > kLongestWait) {
+      QueuedMessage& first = lane.queue.front();
+      if (now - first.since > kMaxWait) {
         ++lane.status.dropped;
       } else if (lane.bucket.Take(first.bytes, now)) {
-        Leave(lane, first.bytes, std::move(first.message), out);
+        Emit(lane, first.bytes, std::move(first.message), out);
       } else {
         break;
       }
@@ -164,8 +165,8 @@
   return this->lanes[IndexOf(BudgetOf(message))];
 }
 
-void SendLimiter::Leave(Lane& lane, std::size_t bytes, OutgoingMessage message,
-                        std::vector<OutgoingMessage>& out) {
+void SendLimiter::Emit(Lane& lane, std::size_t bytes, OutgoingMessage message,
+                       std::vector<OutgoingMessage>& out) {
   ++lane.status.messages;
   lane.status.bytes += bytes;
   out.push_back(std::move(message));
--- a/source/core/fleet/send_limiter.h
+++ b/source/core/fleet/send_limiter.h
@@ -1,5 +1,5 @@
-/// Keeps control traffic inside its budgets: a token bucket and a bounded queue
-/// for each kind of message.
+/// Rate-limits control traffic: a token bucket and a bounded queue for each
+/// budget.
 #pragma once
 
 #include <array>
@@ -16,48 +16,48 @@
 
 namespace sassafrasdyke::core {
 
-/// The average of heartbeats and their answers that `policy` allows, in bytes a
-/// second.
+/// The bytes per second that `policy` allows for heartbeats and their answers.
 std::size_t HeartbeatBytesPerSecond(const FleetPolicy& policy);
 
-/// Decides when a control message may leave.
+/// Decides when control messages are sent.
 class SendLimiter {
  public:
   SendLimiter();
 
-  /// Shares out the fleet's published budget.
+  /// Divides the fleet's published budget among the kinds of messages.
   void SetPolicy(const FleetPolicy& policy);
 
-  /// Puts `message` into `out`, or into its kind's queue while the budget is
-  /// spent, or drops and counts it when the queue is full. Heartbeats and
-  /// documents never wait: late ones would say something old. False when the
-  /// message will never leave.
+  /// Appends `message` to `out`, or queues it while its budget is exhausted, or
+  /// drops it when the queue is full. Heartbeats and documents are dropped
+  /// rather than queued, since late ones would be outdated. False when the
+  /// message was dropped.
   bool Send(OutgoingMessage message, std::chrono::milliseconds now,
             std::vector<OutgoingMessage>& out);
 
-  /// Lets waiting messages leave that the budget now allows, and drops those
-  /// that have waited too long.
+  /// Appends the queued messages that the budget now allows to `out`, and drops
+  /// those that have waited too long.
   void Flush(std::chrono::milliseconds now, std::vector<OutgoingMessage>& out);
 
-  /// What was used of each budget, in the order of `MessageBudget`.
+  /// The use of each budget, in the order of `MessageBudget`.
   std::vector<BudgetStatus> Status() const;
   std::uint64_t Limited() const;
 
  private:
-  struct Waiting {
+  struct QueuedMessage {
     OutgoingMessage message;
     std::size_t bytes{0};
     std::chrono::milliseconds since{0};
   };
+  /// The rate limit, queue and counters of one budget.
   struct Lane {
     common::TokenBucket bucket{common::BucketLimits{}};
-    std::deque<Waiting> queue;
+    std::deque<QueuedMessage> queue;
     BudgetStatus status;
   };
 
   Lane& LaneOf(const PeerMessage& message);
-  static void Leave(Lane& lane, std::size_t bytes, OutgoingMessage message,
-                    std::vector<OutgoingMessage>& out);
+  static void Emit(Lane& lane, std::size_t bytes, OutgoingMessage message,
+                   std::vector<OutgoingMessage>& out);
 
   std::array<Lane, kMessageBudgets> lanes;
 };
--- a/source/core/fleet/target_health.h
+++ b/source/core/fleet/target_health.h
@@ -1,4 +1,4 @@
-/// What the failure domain's probers have seen of the targets.
+/// The health of the targets, as found by the probers of the failure domain.
 #pragma once
 
 #include <cstdint>
@@ -8,7 +8,7 @@
 
 namespace sassafrasdyke::core {
 
-/// How target health is kept: one record for each target that ever changed.
+/// Table traits: one record for each target whose health ever changed.
 struct TargetHealthTraits {
   using Record = TargetHealthChange;
   using Key = common::TargetId;
@@ -20,12 +20,12 @@
 
 using TargetHealthTable = VersionedTable<TargetHealthTraits>;
 
-/// True when a prober's finding is news to the table. A target without a record
-/// counts as healthy, so that a fleet in rest has nothing to say.
+/// True when a prober's result differs from the table. A target without a
+/// record counts as healthy, so that no reports are sent while all are healthy.
 bool IsChange(const TargetHealthTable& table, common::TargetId target,
               TargetHealth health);
 
-/// The change to spread when `by` has found `health`; nothing is merged.
+/// The change to spread when `by` has found `health`; the table doesn't change.
 TargetHealthChange NextChange(const TargetHealthTable& table,
                               common::TargetId target, TargetHealth health,
                               common::InstanceId by);
--- a/source/core/fleet/versioned_table.h
+++ b/source/core/fleet/versioned_table.h
@@ -1,5 +1,6 @@
-/// Records of which the newer version wins. Two instances that have merged the
-/// same records, in whatever order, hold the same table.
+/// A replicated table in which the newer version of a record wins. Two
+/// instances that have merged the same records, in any order, hold the same
+/// table.
 #pragma once
 
 #include <cstddef>
@@ -18,10 +19,10 @@
   using Record = typename Traits::Record;
   using Key = typename Traits::Key;
   using Records = std::map<Key, Record>;
-  /// Where a page ended; nothing at the start.
+  /// The position after a page; nothing to start with the latest arrival.
   using Cursor = std::optional<std::uint64_t>;
 
-  /// Takes `record` if it is newer than what is here. True when it was taken.
+  /// Stores `record` if it is newer than the stored one. True when it was.
   bool Merge(const Record& record) {
     const auto [place, inserted] =
         this->records.try_emplace(Traits::KeyOf(record), record);
@@ -33,7 +34,7 @@
       place->second = record;
     }
     this->digest += Traits::HashOf(record);
-    this->NoteArrival(place->first);
+    this->RecordArrival(place->first);
     return true;
   }
 
@@ -55,9 +56,9 @@
     });
   }
 
-  /// The next `count` records, from the latest that came to the earliest;
-  /// `cursor` is moved, and starts again after the earliest. What a peer lacks
-  /// is most often what came last.
+  /// The next `count` records, from the latest arrival to the earliest, and
+  /// moves `cursor`, which starts over after the earliest. A peer most often
+  /// lacks the latest ones.
   std::vector<Record> Page(Cursor& cursor, std::size_t count) const {
     std::vector<Record> page;
     auto next =
@@ -73,7 +74,7 @@
     return page;
   }
 
-  /// A sum of hashes: equal tables have equal digests.
+  /// The sum of the records' hashes: equal tables have equal digests.
   std::uint64_t Digest() const { return this->digest; }
   const Records& All() const { return this->records; }
 
@@ -86,7 +87,7 @@
     }
   }
 
-  void NoteArrival(const Key& key) {
+  void RecordArrival(const Key& key) {
     this->ForgetArrival(key);
     ++this->last_arrival;
     this->arrivals.emplace(this->last_arrival, key);
@@ -94,7 +95,7 @@
   }
 
   Records records;
-  std::map<std::uint64_t, Key> arrivals;  ///< By the order of arrival.
+  std::map<std::uint64_t, Key> arrivals;  ///< In order of arrival.
   std::map<Key, std::uint64_t> arrival_of;
   std::uint64_t last_arrival{0};
   std::uint64_t digest{0};
--- a/source/core/messages.h
+++ b/source/core/messages.h
@@ -1,5 +1,5 @@
-/// The messages instances send each other, as values. The peer codec turns
-/// them into bytes; the core never sees bytes.
+/// The messages that instances send each other, as structs. The peer codec
+/// serialises them; the core never handles bytes.
 #pragma once
 
 #include <chrono>
@@ -17,8 +17,8 @@
 /// The two documents that the platform publishes.
 enum class DocumentKind : std::uint8_t { kConfiguration = 0, kInstances = 1 };
 
-/// A part of a document, named by a path such as "targets/105". The core does
-/// not look into the body.
+/// A part of a document, named by a path such as "targets/105". The core
+/// doesn't parse the body.
 struct DocumentEntry {
   std::string path;
   std::string body;  ///< JSON text of the part.
@@ -35,7 +35,8 @@
   friend bool operator==(const Document&, const Document&) = default;
 };
 
-/// What an instance has of one document.
+/// The revision of one document that an instance has, and a hash of its
+/// content.
 struct DocumentDigest {
   DocumentKind kind{DocumentKind::kConfiguration};
   common::Revision revision;
@@ -45,43 +46,45 @@
                          const DocumentDigest&) = default;
 };
 
-/// Sent by a watcher and answered by the watched one.
+/// A heartbeat request or its answer. A watcher sends requests to the instances
+/// that it watches; an answer repeats the request's sequence.
 struct Heartbeat {
   common::Incarnation incarnation;
   std::uint64_t sequence{0};
   bool answer{false};   ///< True when it replies to a heartbeat.
   bool leaving{false};  ///< The sender is stopping.
-  bool stale{false};    ///< The sender's lease has run out.
+  bool stale{false};    ///< The sender's lease has expired.
   std::vector<DocumentDigest> digests;
-  std::uint64_t members{0};  ///< Hash over the member reports it holds.
-  std::uint64_t health{0};   ///< Hash over the target health it holds.
+  std::uint64_t members{0};  ///< Hash over the sender's member reports.
+  /// Hash over the sender's target health and reachability reports.
+  std::uint64_t health{0};
 };
 
-/// What one instance says of another, or of itself.
-enum class MemberWord : std::uint8_t {
+/// The state that one instance reports of another, or of itself.
+enum class MemberState : std::uint8_t {
   kAlive = 0,
-  kSuspected = 1,  ///< Only a watcher says so.
-  kLeaving = 2,    ///< Only the instance itself says so.
+  kSuspected = 1,  ///< Reported by watchers only.
+  kLeaving = 2,    ///< Reported by the instance itself only.
 };
 
-/// One instance's word on an instance, passed on unchanged to everybody. Of
-/// two reports with the same `about` and `by`, the greater (`incarnation`,
+/// One instance's report on an instance, relayed unchanged to the whole fleet.
+/// Of two reports with the same `about` and `by`, the greater (`incarnation`,
 /// `version`) wins.
 struct MemberReport {
   common::InstanceId about;
   common::Incarnation incarnation;  ///< Of `about`.
-  common::InstanceId by;  ///< Equal to `about` when it speaks for itself.
+  common::InstanceId by;            ///< Equal to `about` in a report on itself.
   std::uint64_t version{0};
-  /// The newest version of the instance's own word that `by` knew. A suspicion
-  /// older than the instance's own word counts for nothing.
-  std::uint64_t own_version{0};
-  MemberWord word{MemberWord::kAlive};
+  /// The newest version of the subject's report on itself that `by` knew. A
+  /// suspicion with an older one is refuted.
+  std::uint64_t self_report_version{0};
+  MemberState state{MemberState::kAlive};
 
   friend bool operator==(const MemberReport&, const MemberReport&) = default;
 };
 
-/// What one instance with links to another failure domain says of that domain.
-/// Spread inside the speaker's own domain; the greater version wins.
+/// Whether an instance that holds a link to another failure domain reaches that
+/// domain. Relayed inside the reporter's own domain; the greater version wins.
 struct ReachabilityReport {
   common::DomainId domain;
   common::InstanceId by;
@@ -115,15 +118,16 @@
   std::uint64_t digest{0};
 };
 
-/// What a prober has seen of a target.
+/// The health of a target as a prober determined it.
 enum class TargetHealth : std::uint8_t {
   kUnknown = 0,
   kHealthy = 1,
-  kShedding = 2,  ///< Says that it takes less; new flows avoid it.
+  kShedding = 2,  ///< The target asks for less load; new flows avoid it.
   kFailing = 3,
 };
 
-/// A change of a target's state, passed on once. Higher versions win.
+/// A change of a target's health, relayed once by each instance. The greater
+/// version wins.
 struct TargetHealthChange {
   common::TargetId target;
   TargetHealth health{TargetHealth::kUnknown};
@@ -140,7 +144,7 @@
   friend auto operator<=>(const PartitionKey&, const PartitionKey&) = default;
 };
 
-/// One flow that is not at its partition's fallback.
+/// One flow that is at another target than its partition's fallback.
 struct FlowException {
   common::Fingerprint flow;
   common::TargetId target;
@@ -148,56 +152,58 @@
   friend bool operator==(const FlowException&, const FlowException&) = default;
 };
 
-/// Copies a partition's exceptions from its owner to another instance.
-/// Applied only in order of `sequence` within one `generation` of one sender's
-/// life; a gap is answered with a request for the whole partition. A generation
-/// starts with the whole set: messages with `whole`, and one without that ends
-/// it. Only then does the receiver give up the generation before.
+/// Replicates a partition's exceptions from its owner to another instance.
+/// Applied only in order of `sequence` within one `generation` of one sender
+/// incarnation; a gap is answered with a request for the whole partition. A
+/// generation starts with the whole set: messages with `whole`, then one
+/// without. Only after that does the receiver discard the previous generation.
 struct ExceptionCopy {
   PartitionKey partition;
   common::Incarnation incarnation;  ///< Of the sender.
   std::uint64_t generation{0};      ///< Grows when the fallback changes.
   std::uint64_t sequence{0};        ///< From 0 within the generation.
-  /// Where flows that no message names are; 0 when the sender doesn't know.
+  /// The target of flows without an exception; 0 when the sender doesn't know.
   common::TargetId fallback;
-  bool whole{false};  ///< Part of a whole set that is not yet complete.
-  bool last{false};   ///< Ends a hand-over: the receiver knows everything.
+  bool whole{false};  ///< More messages of the whole set follow.
+  bool last{false};   ///< Ends a state transfer: the receiver has all of it.
   std::vector<FlowException> added;
   std::vector<common::Fingerprint> ended;
 };
 
-/// Confirms copies up to and including `sequence`.
+/// Acknowledges copies up to and including `sequence`.
 struct ExceptionCopyAck {
   PartitionKey partition;
   common::Incarnation incarnation;  ///< Of the owner that sent the copies.
   std::uint64_t generation{0};
   std::uint64_t sequence{0};
-  bool resend_whole{false};  ///< Something is missing.
+  bool resend_whole{false};  ///< Asks for the whole set: a copy is missing.
 };
 
-/// Sent with the end of a hand-over, by an owner that gives up to the receiver
-/// directly. The receiver may then say of a flow that it doesn't know whether a
-/// SYN of it was forwarded. Without the message it has to wait until all
-/// earlier SYNs are outdated.
+/// Sent at the end of a state transfer, by an owner that hands its partition
+/// directly to the receiver. The receiver then knows of every SYN that was
+/// forwarded in the last `known_for`. Without the message it must wait until
+/// all earlier SYNs have expired before it can tell whether a SYN of a flow was
+/// forwarded.
 struct OpeningsKnown {
   PartitionKey partition;
-  /// For how long the sender has known of every SYN of the partition.
+  /// For how long the sender has recorded every SYN of the partition.
   std::chrono::milliseconds known_for{0};
 };
 
-/// Every message between instances. The position is the kind's number on the
-/// wire, so new kinds go to the end.
+/// Every message between instances. The index is the message's type number on
+/// the wire, so new types go to the end.
 using PeerMessage =
     std::variant<Heartbeat, MemberReport, DocumentRequest, DocumentDelta,
                  DocumentCopy, TargetHealthChange, ExceptionCopy,
                  ExceptionCopyAck, ReachabilityReport, OpeningsKnown>;
 
-/// Whether the messages of a kind are for the balancer of flows; all others are
-/// for the fleet.
+/// True for the message types that the flow balancer handles; the fleet handles
+/// all others.
 template <typename Message>
-inline constexpr bool kIsForFlows = std::is_same_v<Message, ExceptionCopy> ||
-                                    std::is_same_v<Message, ExceptionCopyAck> ||
-                                    std::is_same_v<Message, OpeningsKnown>;
+inline constexpr bool kIsFlowMessage =
+    std::is_same_v<Message, ExceptionCopy> ||
+    std::is_same_v<Message, ExceptionCopyAck> ||
+    std::is_same_v<Message, OpeningsKnown>;
 
 /// A message with its destination.
 struct OutgoingMessage {
--- a/source/peer/message_fields.h
+++ b/source/peer/message_fields.h
@@ -43,7 +43,8 @@
 
 template <typename Visit, Is<core::MemberReport> Message>
 auto VisitFields(Message& m, Visit& visit) {
-  return visit(m.about, m.incarnation, m.by, m.version, m.own_version, m.word);
+  return visit(m.about, m.incarnation, m.by, m.version, m.self_report_version,
+               m.state);
 }
 
 template <typename Visit, Is<core::ReachabilityReport> Message>
@@ -105,8 +106,8 @@
 inline constexpr auto kGreatest<core::DocumentKind> =
     static_cast<std::uint8_t>(core::DocumentKind::kInstances);
 template <>
-inline constexpr auto kGreatest<core::MemberWord> =
-    static_cast<std::uint8_t>(core::MemberWord::kLeaving);
+inline constexpr auto kGreatest<core::MemberState> =
+    static_cast<std::uint8_t>(core::MemberState::kLeaving);
 template <>
 inline constexpr auto kGreatest<core::TargetHealth> =
     static_cast<std::uint8_t>(core::TargetHealth::kFailing);
--- a/tests/core/fleet/backoff_test.cc
+++ b/tests/core/fleet/backoff_test.cc
@@ -1,4 +1,4 @@
-/// Waits between tries.
+/// Back-off between attempts.
 #include "core/fleet/backoff.h"
 
 #include <algorithm>
@@ -11,10 +11,10 @@
 
 using namespace std::chrono_literals;
 
-// The platform is down for an hour while hundreds of instances want it. Waits
-// that grew without bound would leave some of them on the old configuration
-// long after it is back; waits of equal length would bring all of them at once.
-BOOST_AUTO_TEST_CASE(waits_are_spread_below_a_bound_that_grows_and_ends) {
+// The platform is down for an hour while hundreds of instances retry. Without a
+// bound on the waits, some would keep the old configuration long after it is
+// back; without jitter, all would return at the same moment.
+BOOST_AUTO_TEST_CASE(waits_are_jittered_below_a_capped_bound) {
   Jitter jitter(1);
   Backoff backoff({.first = 100ms, .longest = 1000ms});
   const std::chrono::milliseconds bounds[] = {100ms, 200ms,  400ms,
--- a/tests/core/fleet/document_store_test.cc
+++ b/tests/core/fleet/document_store_test.cc
@@ -1,4 +1,4 @@
-/// One document with its history.
+/// The document store: its history, deltas and copies.
 #include "core/fleet/document_store.h"
 
 #include <boost/test/data/monomorphic.hpp>
@@ -20,7 +20,9 @@
   return store;
 }
 
-BOOST_AUTO_TEST_CASE(a_delta_leads_a_peer_to_the_same_document) {
+// A delta over several revisions must give exactly the sender's document, or
+// the peer would refuse it and need a whole copy.
+BOOST_AUTO_TEST_CASE(a_delta_reproduces_the_document) {
   const Document first = ConfigurationOf(1, kTargets);
   DocumentStore ahead = StoreWith(first);
   const DocumentStore behind = StoreWith(first);
@@ -59,9 +61,9 @@
     {"other text", 2, 3, false, DeltaRefusal::kWrongDigest},
 };
 
-// A message is lost, repeated or mixed up on the way, and the delta no longer
-// fits what the instance has. Applied all the same it would leave a target
-// list that nobody published, and flows would go to targets that are gone.
+// A message is lost, duplicated or reordered, and the delta's base is no longer
+// the document here. Applying it would give a target list that was never
+// published, and flows would go to removed targets.
 BOOST_DATA_TEST_CASE(a_delta_that_does_not_fit_changes_nothing, kBadDeltas,
                      row) {
   const DocumentStore store = StoreWith(ConfigurationOf(2, kTargets));
@@ -76,44 +78,47 @@
   BOOST_TEST((applied.error() == row.refusal));
 }
 
-struct Asked {
+struct RequestCase {
   const char* name;
   std::uint64_t revision;
   bool digest_is_right;
   bool delta;
 };
 
-std::ostream& operator<<(std::ostream& out, const Asked& row) {
+std::ostream& operator<<(std::ostream& out, const RequestCase& row) {
   return out << row.name;
 }
 
-const Asked kAsked[] = {
+const RequestCase kRequestCases[] = {
     {"has nothing", 0, true, false},
     {"has a revision the history holds", 9, true, true},
     {"has a revision older than the history", 5, true, false},
     {"has other text under a known revision", 9, false, false},
 };
 
-BOOST_DATA_TEST_CASE(answers_with_a_delta_only_from_a_known_base, kAsked, row) {
+// A delta from a base that the history doesn't hold can't be computed; the peer
+// must get a whole copy.
+BOOST_DATA_TEST_CASE(answers_with_a_delta_only_from_a_known_base, kRequestCases,
+                     row) {
   DocumentStore store = StoreWith(ConfigurationOf(1, kTargets), {4, 4096});
-  DocumentDigest asked;
+  DocumentDigest base;
   for (std::uint64_t revision = 2; revision <= 10; ++revision) {
     if (store.Digest().revision.value == row.revision) {
-      asked = store.Digest();
+      base = store.Digest();
     }
     store.Replace(WithEntry(store.Current(), revision, "targets/00001",
                             std::to_string(revision)));
   }
-  asked.revision.value = row.revision;
-  asked.digest += row.digest_is_right ? 0 : 1;
+  base.revision.value = row.revision;
+  base.digest += row.digest_is_right ? 0 : 1;
 
-  const DocumentAnswer answer = store.AnswerFor(asked);
+  const DocumentAnswer answer = store.AnswerFor(base);
 
   BOOST_TEST(std::holds_alternative<DocumentDelta>(answer) == row.delta);
 }
 
-// Someone republishes the whole fleet at once. A delta as long as the document
-// would cost the history its bound and the peers more than a copy.
+// A revision changes every entry. A delta as large as the document would exceed
+// the bound of the history and cost peers more than a copy.
 BOOST_AUTO_TEST_CASE(a_change_of_everything_is_sent_whole_and_not_kept) {
   DocumentStore store = StoreWith(ConfigurationOf(1, kTargets), {4, 10});
   const DocumentDigest first = store.Digest();
@@ -122,8 +127,8 @@
   BOOST_TEST(std::holds_alternative<DocumentCopy>(store.AnswerFor(first)));
 }
 
-// Whatever is published in whatever order, a peer at any revision that the
-// history holds must end with exactly the same text.
+// For any sequence of changes, a delta from any revision in the history must
+// give exactly the current document.
 BOOST_DATA_TEST_CASE(any_chain_of_changes_converges,
                      boost::unit_test::data::xrange(20), seed) {
   std::mt19937 random(static_cast<std::uint32_t>(seed));
--- a/tests/core/fleet/documents_test.cc
+++ b/tests/core/fleet/documents_test.cc
@@ -1,4 +1,4 @@
-/// Documents that come from the platform.
+/// Handling of documents from the platform.
 #include <boost/test/data/monomorphic.hpp>
 #include <boost/test/data/test_case.hpp>
 #include <boost/test/unit_test.hpp>
@@ -14,7 +14,7 @@
 
 constexpr std::uint32_t kTargets = 18;
 
-/// An instance that has found itself alone on the instance list.
+/// A fleet of one: the instance list in force names only this instance.
 std::unique_ptr<Fleet> FleetOf(const SampleReader& reader) {
   auto fleet = MakeFleet({{1}, {1}, {1}}, reader, 7);
   FleetOutbox outbox;
@@ -22,6 +22,8 @@
   return fleet;
 }
 
+// A valid document must come into force at once and be logged, or operators
+// couldn't tell which configuration an instance uses.
 BOOST_AUTO_TEST_CASE(a_published_document_is_in_force_and_logged) {
   const SampleReader reader;
   const auto fleet = FleetOf(reader);
@@ -37,9 +39,9 @@
   BOOST_TEST(fleet->Status().configuration.revision.value == 7U);
 }
 
-// The platform's service fails over to a copy that lags and hands out an older
-// revision, or the same one again. Users would see a target that was removed
-// come back.
+// The platform's service fails over to a lagging replica and serves an older
+// revision, or the same one again. Accepting it would bring back a removed
+// target.
 BOOST_DATA_TEST_CASE(an_older_revision_is_ignored,
                      boost::unit_test::data::make({1U, 6U, 7U}), revision) {
   const SampleReader reader;
@@ -55,9 +57,9 @@
   BOOST_TEST(fleet->Status().configuration.revision.value == 7U);
 }
 
-// An operator publishes a document with a mistake. The last good one must stay
-// in force on every instance, and the log must say what is wrong, once.
-BOOST_AUTO_TEST_CASE(an_invalid_document_is_refused_whole_and_said_once) {
+// An operator publishes an invalid document. The last valid one must stay in
+// force, and the error must be logged once, not at each poll.
+BOOST_AUTO_TEST_CASE(an_invalid_document_is_refused_and_logged_once) {
   const SampleReader reader;
   const auto fleet = FleetOf(reader);
   FleetOutbox before;
@@ -78,6 +80,8 @@
   BOOST_TEST(fleet->Status().documents_refused == 1U);
 }
 
+// A view that ignored the published state would place new flows on instances
+// that are leaving.
 BOOST_AUTO_TEST_CASE(the_instance_list_becomes_the_view) {
   const SampleReader reader;
   const auto fleet = FleetOf(reader);
--- a/tests/core/fleet/fleet_network.cc
+++ b/tests/core/fleet/fleet_network.cc
@@ -11,9 +11,9 @@
 
 constexpr milliseconds kTick{100};
 constexpr milliseconds kPlatformDelay{3};
-constexpr milliseconds kWatchWait{2000};
-constexpr milliseconds kRefusedAfter{100};
-constexpr milliseconds kSettle{6000};
+constexpr milliseconds kWatchTimeout{2000};
+constexpr milliseconds kRefusalDelay{100};
+constexpr milliseconds kSettleTime{6000};
 constexpr std::uint64_t kPercent = 100;
 
 }  // namespace
@@ -40,12 +40,12 @@
 void FleetNetwork::Start(const SampleInstance& identity) {
   RunningFleet fleet;
   fleet.identity = identity;
-  fleet.life = ++this->lives;
+  fleet.run = ++this->runs;
   fleet.started = this->now;
   fleet.fleet =
       MakeFleet({{identity.id}, {identity.domain}, {identity.incarnation}},
-                *this->reader, this->seed * kPercent + fleet.life);
-  const std::uint64_t life = fleet.life;
+                *this->reader, this->seed * kPercent + fleet.run);
+  const std::uint64_t run = fleet.run;
   if (const auto before = this->fleets.find(identity.id);
       before != this->fleets.end()) {
     fleet.bytes_sent = before->second.bytes_sent;
@@ -56,7 +56,7 @@
   this->fleets.insert_or_assign(identity.id, std::move(fleet));
   this->Push({.at = this->now + this->random.UpTo(kTick),
               .to = identity.id,
-              .life = life,
+              .run = run,
               .message = nullptr});
 }
 
@@ -67,14 +67,14 @@
   for (const SampleInstance& instance : instances) {
     this->Start(instance);
   }
-  this->RunFor(kSettle);
+  this->RunFor(kSettleTime);
 }
 
 void FleetNetwork::Kill(std::uint32_t id) {
   this->fleets.at(id).running = false;
 }
 
-void FleetNetwork::Wake(std::uint32_t id) {
+void FleetNetwork::Resume(std::uint32_t id) {
   this->fleets.at(id).paused = false;
   for (Event& event : this->waiting[id]) {
     event.at = this->now;
@@ -124,7 +124,7 @@
               .kind = EventKind::kMessage,
               .to = to,
               .from = from,
-              .life = this->fleets.at(to).life,
+              .run = this->fleets.at(to).run,
               .message = std::make_shared<const PeerMessage>(message)});
 }
 
@@ -145,7 +145,7 @@
   return InstanceUse::kSuspected;
 }
 
-bool FleetNetwork::AllBelieve(std::uint32_t about, InstanceUse use) const {
+bool FleetNetwork::AllSee(std::uint32_t about, InstanceUse use) const {
   return std::all_of(
       this->fleets.begin(), this->fleets.end(), [&](const auto& item) {
         return !item.second.running || this->UseOf(item.first, about) == use;
@@ -168,7 +168,7 @@
 
 void FleetNetwork::Handle(const Event& event) {
   RunningFleet& fleet = this->fleets.at(event.to);
-  if (!fleet.running || fleet.life != event.life) {
+  if (!fleet.running || fleet.run != event.run) {
     return;
   }
   if (fleet.paused) {
@@ -196,7 +196,7 @@
       fleet.fleet->OnTick(since_start, outbox);
       this->Push({.at = this->now + kTick,
                   .to = event.to,
-                  .life = fleet.life,
+                  .run = fleet.run,
                   .message = nullptr});
       break;
     case EventKind::kMessage:
@@ -242,7 +242,7 @@
               .kind = EventKind::kMessage,
               .to = message.to.value,
               .from = fleet.identity.id,
-              .life = to->second.life,
+              .run = to->second.run,
               .message = std::make_shared<const PeerMessage>(message.message)};
   if (this->random.Below(kPercent) < this->shape.repeat_percent) {
     Event again = event;
@@ -269,11 +269,11 @@
   ++fleet.watch;
   const bool reached = this->platform_up && !fleet.platform_cut;
   const bool news = reached && this->HasNews(fleet);
-  const milliseconds wait = news ? kPlatformDelay : kWatchWait;
-  this->Push({.at = this->now + (reached ? wait : kRefusedAfter),
+  const milliseconds wait = news ? kPlatformDelay : kWatchTimeout;
+  this->Push({.at = this->now + (reached ? wait : kRefusalDelay),
               .kind = EventKind::kPlatformAnswer,
               .to = fleet.identity.id,
-              .life = fleet.life,
+              .run = fleet.run,
               .watch = fleet.watch,
               .message = nullptr,
               .reached = reached});
@@ -307,7 +307,7 @@
       this->Push({.at = this->now + kPlatformDelay,
                   .kind = EventKind::kPlatformAnswer,
                   .to = id,
-                  .life = fleet.life,
+                  .run = fleet.run,
                   .watch = fleet.watch,
                   .message = nullptr});
     }
--- a/tests/core/fleet/fleet_network.h
+++ b/tests/core/fleet/fleet_network.h
@@ -1,5 +1,6 @@
-/// A few instances' fleets in one process, joined by messages in flight that
-/// can be late, lost, repeated or cut, and a stand-in of the platform.
+/// A simulated network: the fleets of several instances in one process, joined
+/// by links that delay, lose, duplicate or block messages, and a simulated
+/// platform.
 #pragma once
 
 #include <chrono>
@@ -19,8 +20,8 @@
 
 namespace sassafrasdyke::core {
 
-/// How messages fare. A lost message is lost for good, which is worse than a
-/// TCP stream, where it only comes late.
+/// Delay, loss and duplication of messages. A lost message is never resent,
+/// which is stricter than TCP, where it only arrives late.
 struct LinkShape {
   std::chrono::milliseconds delay_inside{1};   ///< Within a failure domain.
   std::chrono::milliseconds delay_between{4};  ///< Between failure domains.
@@ -52,38 +53,38 @@
   std::chrono::nanoseconds cpu{0};
   /// When it started; the fleet's times count from here.
   std::chrono::milliseconds started{0};
-  std::uint64_t life{0};
+  std::uint64_t run{0};  ///< Number of this process, in order of starts.
   bool watch_open{false};
-  std::uint64_t watch{0};  ///< Tells apart the watches of one life.
-  /// Messages that earlier lives dropped.
+  std::uint64_t watch{0};  ///< Number of the current watch of this process.
+  /// Messages that earlier processes of this instance dropped.
   std::uint64_t dropped_before{0};
 };
 
-/// Messages that the instance's budgets dropped, over all its lives.
+/// Messages that the instance's budgets dropped, over all its processes.
 std::uint64_t DroppedOf(const RunningFleet& fleet);
 
 /// Reads the processor time used so far.
 using CpuClock = std::chrono::nanoseconds (*)();
 
-/// Gives the bytes of a message on its stream.
+/// Returns the bytes that a message takes on the wire.
 using MessageSizer = std::size_t (*)(const PeerMessage&);
 
-/// Runs fleets through simulated time, in the same order for the same seed.
+/// Runs fleets in simulated time. The order of events depends only on the seed.
 class FleetNetwork {
  public:
   explicit FleetNetwork(std::uint64_t seed, LinkShape shape = {});
 
   /// Starts an instance at the current time.
   void Start(const SampleInstance& identity);
-  /// Publishes the list, starts everyone on it, publishes a configuration of
-  /// `targets` targets and runs until all is in rest.
+  /// Publishes the list and a configuration of `targets` targets, starts all
+  /// listed instances and runs until the fleet has settled.
   void StartAll(const std::vector<SampleInstance>& instances,
                 std::uint32_t targets);
   void Kill(std::uint32_t id);
   void Pause(std::uint32_t id) { this->fleets.at(id).paused = true; }
-  void Wake(std::uint32_t id);
+  void Resume(std::uint32_t id);
 
-  /// Cuts messages in one direction, or in both, until `Heal`.
+  /// Blocks messages in one direction, or in both, until `Heal`.
   void CutOneWay(std::uint32_t from, std::uint32_t to);
   void Cut(std::uint32_t left, std::uint32_t right);
   void CutDomains(std::uint32_t left, std::uint32_t right);
@@ -97,7 +98,7 @@
   /// Injects a message as if `from` had sent it to `to`.
   void Inject(std::uint32_t from, std::uint32_t to, const PeerMessage& message);
 
-  /// Calls one instance's fleet and sends what it leaves to be sent.
+  /// Calls one instance's fleet and sends the resulting messages.
   using FleetCall =
       std::function<void(Fleet&, std::chrono::milliseconds, FleetOutbox&)>;
   void Call(std::uint32_t id, const FleetCall& call);
@@ -111,11 +112,12 @@
   /// Counts sent bytes with `sizer` in place of the core's estimate.
   void MeasureBytes(MessageSizer sizer) { this->sizer = sizer; }
 
-  /// What `observer` believes of `about`.
+  /// The use of `about` in the view of `observer`.
   InstanceUse UseOf(std::uint32_t observer, std::uint32_t about) const;
-  /// True when every running instance believes `use` of `about`.
-  bool AllBelieve(std::uint32_t about, InstanceUse use) const;
-  /// True when every running instance has `revision` of the configuration.
+  /// True when every running instance's view has `use` for `about`.
+  bool AllSee(std::uint32_t about, InstanceUse use) const;
+  /// True when `revision` of the configuration is in force on every running
+  /// instance.
   bool InForceEverywhere(std::uint64_t revision) const;
 
  private:
@@ -126,7 +128,7 @@
     EventKind kind{EventKind::kTick};
     std::uint32_t to{0};
     std::uint32_t from{0};
-    std::uint64_t life{0};
+    std::uint64_t run{0};  ///< Number of this process, in order of starts.
     std::uint64_t watch{0};
     std::shared_ptr<const PeerMessage> message;
     bool reached{true};
@@ -153,7 +155,8 @@
   LinkShape shape;
   std::map<std::uint32_t, RunningFleet> fleets;
   std::priority_queue<Event, std::vector<Event>, Later> events;
-  /// What arrived during pauses: it waits in sockets and timers.
+  /// Events that arrived for a paused instance, as in its socket buffers and
+  /// timers.
   std::map<std::uint32_t, std::vector<Event>> waiting;
   std::set<std::pair<std::uint32_t, std::uint32_t>> cuts;
   std::set<std::pair<std::uint32_t, std::uint32_t>> domain_cuts;
@@ -161,7 +164,7 @@
   bool platform_up{true};
   std::uint64_t platform_reads{0};
   std::uint64_t next_order{0};
-  std::uint64_t lives{0};
+  std::uint64_t runs{0};
   std::chrono::milliseconds now{0};
   CpuClock clock{nullptr};
   MessageSizer sizer{nullptr};
--- a/tests/core/fleet/health_test.cc
+++ b/tests/core/fleet/health_test.cc
@@ -1,4 +1,4 @@
-/// The health of targets on its way through a failure domain.
+/// The spread of target health through a failure domain.
 #include <boost/test/unit_test.hpp>
 
 #include "core/fleet/fleet_network.h"
@@ -42,7 +42,9 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(what_is_known_is_not_said_again) {
+// Probers keep finding the same state. Reporting it again each time would fill
+// the budget for health reports.
+BOOST_AUTO_TEST_CASE(known_health_is_not_reported_again) {
   FleetNetwork network(kSeed);
   network.StartAll(SampleInstances(4, 1), 18);
   Probe(network, 1, 5, TargetHealth::kFailing);
@@ -57,9 +59,9 @@
   }
 }
 
-// Two probers disagree at the same moment, because only one of them reaches the
-// target. Everyone must end with the same answer.
-BOOST_AUTO_TEST_CASE(contradicting_probers_leave_one_answer) {
+// Two probers report different health at the same moment, because only one of
+// them reaches the target. All instances must converge on the same state.
+BOOST_AUTO_TEST_CASE(conflicting_probers_converge) {
   FleetNetwork network(kSeed);
   network.StartAll(SampleInstances(8, 1), 18);
 
@@ -70,9 +72,9 @@
   BOOST_TEST(CountWith(network, TargetHealth::kShedding) == 8U);
 }
 
-// The message that says so is lost to one instance. Without healing, that one
-// would go on sending callers to a target that fails.
-BOOST_AUTO_TEST_CASE(a_lost_change_is_healed) {
+// A health report is lost on its way to one instance. Without anti-entropy,
+// that one would go on sending callers to a failing target.
+BOOST_AUTO_TEST_CASE(a_lost_health_change_is_repaired) {
   FleetNetwork network(kSeed);
   network.StartAll(SampleInstances(6, 1), 18);
   for (std::uint32_t other = 1; other <= 5; ++other) {
@@ -88,8 +90,8 @@
   BOOST_TEST(CountWith(network, TargetHealth::kFailing) == 6U);
 }
 
-// A target is removed from the configuration while words on it are still on
-// their way. Nobody may keep or pass on such words for ever.
+// A target is removed from the configuration while reports on it are in flight.
+// If instances kept and relayed these, they would circulate for ever.
 BOOST_AUTO_TEST_CASE(a_removed_target_is_forgotten) {
   FleetNetwork network(kSeed);
   network.StartAll(SampleInstances(3, 1), 18);
--- a/tests/core/fleet/limits_test.cc
+++ b/tests/core/fleet/limits_test.cc
@@ -1,4 +1,4 @@
-/// Budgets, queues, back-off and retries of the control traffic.
+/// Budgets, queues, back-off and retries of control traffic.
 #include <boost/test/data/monomorphic.hpp>
 #include <boost/test/data/test_case.hpp>
 #include <boost/test/unit_test.hpp>
@@ -18,21 +18,23 @@
 
 constexpr std::uint64_t kSeed = 9;
 
-struct WakeUp {
+struct PauseCase {
   std::chrono::milliseconds pause;
   bool enough;
 };
 
-std::ostream& operator<<(std::ostream& out, const WakeUp& row) {
+std::ostream& operator<<(std::ostream& out, const PauseCase& row) {
   return out << row.pause.count() << " ms";
 }
 
-const WakeUp kWakeUps[] = {
+const PauseCase kPauseCases[] = {
     {1ms, false}, {500ms, false}, {1000ms, true}, {600'000ms, true}};
 
-// The kernel stops an instance for minutes. When it wakes, its control traffic
-// must not leave all at once, or its peers miss the heartbeats of others.
-BOOST_DATA_TEST_CASE(a_pause_earns_no_more_than_a_second, kWakeUps, row) {
+// An instance is paused for minutes. If it accrued tokens for all of that time,
+// its burst of control traffic on resuming would delay other instances'
+// heartbeats.
+BOOST_DATA_TEST_CASE(a_pause_accrues_at_most_a_second_of_tokens, kPauseCases,
+                     row) {
   common::TokenBucket bucket({.per_second = 1000, .burst = 5000});
   BOOST_REQUIRE(bucket.Take(5000, 0ms));
 
@@ -55,9 +57,10 @@
   return all[static_cast<std::size_t>(budget)];
 }
 
-// A storm of reports, as when a rack dies. The queue must stay bounded and what
-// it dropped must be counted, or the storm would fill the memory unseen.
-BOOST_AUTO_TEST_CASE(a_storm_fills_a_bounded_queue_and_is_counted) {
+// A rack dies and causes a burst of reports. The queue must stay bounded, or
+// the burst would exhaust memory, and dropped messages must be counted, or the
+// loss would go unnoticed.
+BOOST_AUTO_TEST_CASE(a_burst_fills_a_bounded_queue_and_is_counted) {
   SendLimiter limiter;
   const std::size_t left = SendMany(limiter, MemberReport{}, 5000, 0ms);
 
@@ -73,9 +76,9 @@
   BOOST_TEST(StatusOf(limiter.Status(), MessageBudget::kMembers).waiting == 0U);
 }
 
-// A change of every target each second spends the budget of deltas. Heartbeats
-// have a budget of their own, so no instance is taken for dead because others
-// talk much.
+// A change of every target each second exhausts the budget of deltas.
+// Heartbeats must have a budget of their own, or healthy instances would be
+// suspected because of other traffic.
 BOOST_AUTO_TEST_CASE(one_kind_of_message_can_not_starve_another) {
   SendLimiter limiter;
   DocumentDelta delta;
@@ -85,9 +88,9 @@
   BOOST_TEST(SendMany(limiter, Heartbeat{}, 10, 0ms) == 10U);
 }
 
-// A late heartbeat would say something old, and its answer would renew a lease
-// that has run out.
-BOOST_AUTO_TEST_CASE(a_heartbeat_over_budget_is_dropped_and_never_late) {
+// A heartbeat that is queued and sent late carries outdated state, and its
+// answer would renew a lease that has expired.
+BOOST_AUTO_TEST_CASE(a_heartbeat_over_budget_is_dropped_not_queued) {
   SendLimiter limiter;
   SendMany(limiter, Heartbeat{}, 5000, 0ms);
 
@@ -99,6 +102,8 @@
              0U);
 }
 
+// A back-off without a bound would keep an instance from its peers long after
+// they are reachable again.
 BOOST_AUTO_TEST_CASE(waits_double_up_to_a_bound_with_full_jitter) {
   Jitter jitter(kSeed);
   Backoff backoff({.first = 100ms, .longest = 1000ms});
@@ -111,9 +116,9 @@
   }
 }
 
-// A peer that serves documents dies and everyone asks again. Repeats must stay
-// a share of the first requests, or they are the next peer's overload.
-BOOST_AUTO_TEST_CASE(repeats_are_a_share_of_requests) {
+// A peer that serves documents dies and all instances retry. Retries must stay
+// a share of the first requests, or they overload the next peer.
+BOOST_AUTO_TEST_CASE(retries_are_a_share_of_requests) {
   RetryBudget budget;
   while (budget.TakeRetry()) {
   }
@@ -127,7 +132,7 @@
   BOOST_TEST(budget.Denied() > 0U);
 }
 
-std::uint64_t RestBytes(std::uint32_t instances) {
+std::uint64_t IdleBytesPerSecond(std::uint32_t instances) {
   constexpr std::uint64_t kSeconds = 20;
   FleetNetwork network(kSeed);
   network.StartAll(SampleInstances(instances, 1), 18);
@@ -143,17 +148,17 @@
   return (sum() - before) / (kSeconds * instances);
 }
 
-// Watching everybody would cost each instance bytes in proportion to the fleet
-// and leave none for anything else.
-BOOST_AUTO_TEST_CASE(bytes_in_rest_do_not_grow_with_the_fleet) {
-  const std::uint64_t small = RestBytes(8);
-  const std::uint64_t large = RestBytes(48);
+// If each instance watched all others, its idle traffic would grow with the
+// fleet and leave no budget for anything else.
+BOOST_AUTO_TEST_CASE(idle_bytes_do_not_grow_with_the_fleet) {
+  const std::uint64_t small = IdleBytesPerSecond(8);
+  const std::uint64_t large = IdleBytesPerSecond(48);
 
   BOOST_TEST(large < 4000U);
   BOOST_TEST(large * 10 < small * 13);
 }
 
-std::uint64_t ReadsInRest(std::uint32_t instances) {
+std::uint64_t IdleReads(std::uint32_t instances) {
   FleetNetwork network(kSeed);
   network.StartAll(SampleInstances(instances, 1), 18);
   const std::uint64_t before = network.PlatformReads();
@@ -166,11 +171,12 @@
 BOOST_DATA_TEST_CASE(platform_reads_do_not_grow_with_a_domain,
                      boost::unit_test::data::make({4U, 16U, 64U}), instances) {
   // Two readers, two documents, one watch in two seconds.
-  BOOST_TEST(ReadsInRest(instances) == 40U);
+  BOOST_TEST(IdleReads(instances) == 40U);
 }
 
-// A rack comes back at once. Its reads of the platform must be spread over the
-// start, and everyone must be served within seconds.
+// All instances of a rack restart at once. If their platform reads weren't
+// spread over time they would exceed its rate limit; still, all must have the
+// configuration within seconds.
 BOOST_AUTO_TEST_CASE(a_restarted_rack_spreads_its_reads) {
   FleetNetwork network(kSeed);
   network.StartAll(SampleInstances(60, 1), 180);
--- a/tests/core/fleet/members_test.cc
+++ b/tests/core/fleet/members_test.cc
@@ -1,4 +1,4 @@
-/// How suspicions are judged, and who is chosen for what.
+/// Confirmation of suspicions, member reports, flap damping and peer plans.
 #include "core/fleet/members.h"
 
 #include <algorithm>
@@ -32,18 +32,19 @@
 }
 
 MemberReport Suspicion(std::uint32_t about, std::uint32_t by,
-                       std::uint64_t own_version = 0,
+                       std::uint64_t self_report_version = 0,
                        std::uint64_t incarnation = 1) {
-  return {{about}, {incarnation}, {by}, 1, own_version, MemberWord::kSuspected};
+  return {{about}, {incarnation},       {by},
+          1,       self_report_version, MemberState::kSuspected};
 }
 
-MemberReport OwnWord(std::uint32_t id, std::uint64_t version,
-                     MemberWord word = MemberWord::kAlive,
-                     std::uint64_t incarnation = 1) {
-  return {{id}, {incarnation}, {id}, version, 0, word};
+MemberReport SelfReport(std::uint32_t id, std::uint64_t version,
+                        MemberState state = MemberState::kAlive,
+                        std::uint64_t incarnation = 1) {
+  return {{id}, {incarnation}, {id}, version, 0, state};
 }
 
-struct Verdict {
+struct SuspicionCase {
   const char* name;
   std::uint32_t instances;
   std::vector<MemberReport> reports;
@@ -51,25 +52,26 @@
   std::size_t watchers{3};
 };
 
-std::ostream& operator<<(std::ostream& out, const Verdict& row) {
+std::ostream& operator<<(std::ostream& out, const SuspicionCase& row) {
   return out << row.name;
 }
 
-const Verdict kVerdicts[] = {
+const SuspicionCase kSuspicionCases[] = {
     {"nobody says anything", 5, {}, {}},
     {"one watcher is not enough", 5, {Suspicion(2, 1)}, {}},
     {"two watchers are", 5, {Suspicion(2, 1), Suspicion(2, 3)}, {2}},
     {"its own newer word outweighs both",
      5,
-     {Suspicion(2, 1), Suspicion(2, 3), OwnWord(2, 1)},
+     {Suspicion(2, 1), Suspicion(2, 3), SelfReport(2, 1)},
      {}},
     {"suspicions after its own word count again",
      5,
-     {Suspicion(2, 1, 1), Suspicion(2, 3, 1), OwnWord(2, 1)},
+     {Suspicion(2, 1, 1), Suspicion(2, 3, 1), SelfReport(2, 1)},
      {2}},
     {"a new life answers for the old one",
      5,
-     {Suspicion(2, 1), Suspicion(2, 3), OwnWord(2, 1, MemberWord::kAlive, 2)},
+     {Suspicion(2, 1), Suspicion(2, 3),
+      SelfReport(2, 1, MemberState::kAlive, 2)},
      {}},
     {"the only published watcher is enough", 5, {Suspicion(2, 1)}, {2}, 1},
     {"the only other one is believed", 2, {Suspicion(2, 1)}, {2}},
@@ -83,26 +85,27 @@
      {1}},
 };
 
-// Ownership moves only on a confirmed suspicion. Judged too fast, healthy
-// owners lose their flows; judged too slowly, callers talk to a dead owner.
-BOOST_DATA_TEST_CASE(judges_suspicions, kVerdicts, row) {
+// Ownership moves only on a confirmed suspicion. If it is confirmed too easily,
+// healthy owners lose their flows; if too late, callers' packets go to a dead
+// owner.
+BOOST_DATA_TEST_CASE(confirms_suspicions, kSuspicionCases, row) {
   MemberReportTable table;
   for (const MemberReport& report : row.reports) {
     table.Merge(report);
   }
 
-  const MemberVerdicts verdicts =
-      Judge(ListOf(row.instances), table, row.watchers);
+  const Suspicions suspicions =
+      EvaluateSuspicions(ListOf(row.instances), table, row.watchers);
 
   std::set<std::uint32_t> confirmed;
-  for (const auto& [about, by] : verdicts.confirmed) {
+  for (const auto& [about, by] : suspicions.confirmed) {
     confirmed.insert(about.value);
   }
   BOOST_TEST(confirmed == row.confirmed, boost::test_tools::per_element());
 }
 
-// Reports reach instances by different ways, in different orders and twice. If
-// the order mattered, two instances would disagree on an owner for good.
+// Reports reach instances over different paths, in different orders and twice.
+// If the order mattered, two instances would disagree on an owner for good.
 BOOST_DATA_TEST_CASE(the_order_of_reports_does_not_matter,
                      boost::unit_test::data::xrange(50), seed) {
   std::mt19937 random(static_cast<std::uint32_t>(seed));
@@ -114,8 +117,8 @@
     report.by.value = 1 + static_cast<std::uint32_t>(random() % 6);
     report.incarnation.value = 1 + random() % 2;
     report.version = random() % 4;
-    report.own_version = random() % 3;
-    report.word = static_cast<MemberWord>(random() % 3);
+    report.self_report_version = random() % 3;
+    report.state = static_cast<MemberState>(random() % 3);
     reports.push_back(report);
   }
   MemberReportTable left;
@@ -131,28 +134,30 @@
 
   BOOST_TEST(left.Digest() == right.Digest());
   BOOST_TEST((left.All() == right.All()));
-  BOOST_TEST(
-      (Judge(list, left, 3).confirmed == Judge(list, right, 3).confirmed));
+  BOOST_TEST((EvaluateSuspicions(list, left, 3).confirmed ==
+              EvaluateSuspicions(list, right, 3).confirmed));
 }
 
+// Paging through the table must reach every record, latest first; otherwise
+// anti-entropy would never repair some of them.
 BOOST_AUTO_TEST_CASE(pages_cover_the_table_and_start_again) {
   MemberReportTable table;
   for (std::uint32_t id = 1; id <= 10; ++id) {
-    table.Merge(OwnWord(id, 1));
+    table.Merge(SelfReport(id, 1));
   }
   MemberReportTable::Cursor cursor;
 
   BOOST_TEST(table.Page(cursor, 7).front().about.value == 10U);
   BOOST_TEST(table.Page(cursor, 7).size() == 3U);
   BOOST_TEST(!cursor.has_value());
-  table.Merge(OwnWord(4, 2));
+  table.Merge(SelfReport(4, 2));
   BOOST_TEST(table.Page(cursor, 7).front().about.value == 4U);
   BOOST_TEST(table.Page(cursor, 100).size() == 3U);
 }
 
-// The list is replaced and no longer names an instance, or names its next life.
-// Old words must go, or an old suspicion would follow the new instance.
-BOOST_AUTO_TEST_CASE(words_on_unlisted_lives_are_forgotten) {
+// A new list drops an instance or names its next incarnation. Reports on the
+// old one must be dropped, or an old suspicion would apply to the new one.
+BOOST_AUTO_TEST_CASE(reports_on_unlisted_incarnations_are_dropped) {
   Members members({{1}, {1}, {1}});
   members.SetList(ListOf(4));
   BOOST_TEST(members.Merge(Suspicion(2, 3)));
@@ -167,8 +172,8 @@
   BOOST_TEST(!members.Merge(Suspicion(4, 3)));
 }
 
-// A process was replaced but not stopped, and reads in the list that a later
-// life has its id. If it went on as an owner, a flow could be placed twice.
+// A process was replaced but not stopped, and the list names a later
+// incarnation of its id. If it stayed an owner, a flow could be placed twice.
 BOOST_AUTO_TEST_CASE(a_replaced_process_owns_nothing) {
   Members members({{2}, {1}, {1}});
   InstanceList list = ListOf(4);
@@ -182,24 +187,25 @@
   BOOST_TEST((members.Find({1})->use == InstanceUse::kOwner));
 }
 
-// An instance at the same address comes and goes. Each time it must wait longer
-// before it owns partitions again, and be forgiven after a quiet time.
-BOOST_AUTO_TEST_CASE(each_return_takes_longer_until_it_is_forgiven) {
+// An instance is suspected and returns repeatedly. Each time it must wait
+// longer before it owns partitions again, until enough time without suspicion
+// has passed.
+BOOST_AUTO_TEST_CASE(each_return_is_suppressed_longer_until_quiet) {
   FlapDamper damper({.first = 1s, .longest = 4s, .forgive_after = 60s});
   std::chrono::milliseconds now = 0ms;
   for (const auto needed : {1s, 2s, 4s, 4s}) {
-    BOOST_TEST(damper.Held({2}, true, now));
+    BOOST_TEST(damper.UpdateSuppression({2}, true, now));
     now += 100ms;
-    BOOST_TEST(damper.Held({2}, false, now));
-    BOOST_TEST(damper.Held({2}, false, now + needed - 1ms));
-    BOOST_TEST(!damper.Held({2}, false, now + needed));
+    BOOST_TEST(damper.UpdateSuppression({2}, false, now));
+    BOOST_TEST(damper.UpdateSuppression({2}, false, now + needed - 1ms));
+    BOOST_TEST(!damper.UpdateSuppression({2}, false, now + needed));
     now += needed;
   }
   for (int minute = 0; minute < 5; ++minute) {
     now += 60s;
-    BOOST_TEST(!damper.Held({2}, false, now));
+    BOOST_TEST(!damper.UpdateSuppression({2}, false, now));
   }
-  BOOST_TEST(!damper.Waiting());
+  BOOST_TEST(!damper.HasHistory());
 }
 
 std::vector<InstanceView> ViewsOf(const InstanceList& list) {
@@ -222,9 +228,9 @@
 
 const PlanShape kPlanShapes[] = {{1, 1}, {2, 1}, {7, 3}, {64, 1}, {116, 7}};
 
-// Everyone computes the duties alone. If the plans didn't fit together, some
-// instance would be watched by nobody and its death would go unseen.
-BOOST_DATA_TEST_CASE(plans_of_all_instances_fit, kPlanShapes, row) {
+// Each instance computes its plan alone. If the plans were inconsistent, some
+// instance would have no watcher and its death would go undetected.
+BOOST_DATA_TEST_CASE(plans_of_all_instances_are_consistent, kPlanShapes, row) {
   const InstanceList list = ListOf(row.instances, row.domains);
   const std::vector<InstanceView> views = ViewsOf(list);
   const FleetPolicy policy;
@@ -254,9 +260,9 @@
   BOOST_TEST(links <= kLinksPerDomain * row.domains * (row.domains - 1));
 }
 
-// One of many instances dies. Duties of the others should stay, because every
-// moved duty costs new connections just when something has failed.
-BOOST_AUTO_TEST_CASE(a_death_moves_few_duties) {
+// One of many instances dies. The other instances' watchers should stay the
+// same, because each change costs new connections just after a failure.
+BOOST_AUTO_TEST_CASE(a_death_changes_few_watchers) {
   std::vector<common::InstanceId> all;
   for (std::uint32_t id = 1; id <= 100; ++id) {
     all.push_back({id});
--- a/tests/core/fleet/sample_documents.cc
+++ b/tests/core/fleet/sample_documents.cc
@@ -26,7 +26,7 @@
   return path.data();
 }
 
-/// As long as the entry of a target in the published format.
+/// A body about as long as a target's entry in a published configuration.
 std::string TargetBody(std::uint64_t revision, std::uint32_t target) {
   return "{\"id\":" + std::to_string(target) +
          ",\"service\":\"diary\",\"domain\":\"north-1\","
--- a/tests/core/fleet/sample_documents.h
+++ b/tests/core/fleet/sample_documents.h
@@ -1,4 +1,4 @@
-/// Documents and a document reader for the tests and benchmarks of the fleet.
+/// Sample documents and their reader, for the fleet's tests and benchmarks.
 #pragma once
 
 #include <cstdint>
@@ -9,8 +9,8 @@
 
 namespace sassafrasdyke::core {
 
-/// Reads what `ConfigurationOf` and `InstancesOf` write. A body of "invalid"
-/// anywhere is a fault.
+/// Reads the documents of `ConfigurationOf` and `InstancesOf`. An entry with
+/// the body "invalid" makes the document invalid.
 class SampleReader final : public DocumentReader {
  public:
   tl::expected<Configuration, DocumentFaults> ReadConfiguration(
@@ -22,14 +22,15 @@
   FleetPolicy policy;
 };
 
-/// A configuration of `targets` targets, all of whose bodies name `revision`.
+/// A configuration of `targets` targets, each of whose bodies contains
+/// `revision`.
 Document ConfigurationOf(std::uint64_t revision, std::uint32_t targets);
 
-/// The same document with `path` set to `body` and another revision.
+/// `document` with `path` set to `body` and with `revision`.
 Document WithEntry(Document document, std::uint64_t revision,
                    const std::string& path, const std::string& body);
 
-/// The same document without `path` and with another revision.
+/// `document` without `path` and with `revision`.
 Document WithoutEntry(Document document, std::uint64_t revision,
                       const std::string& path);
 
@@ -44,7 +45,7 @@
 Document InstancesOf(std::uint64_t revision,
                      const std::vector<SampleInstance>& instances);
 
-/// `count` instances with ids from 1, dealt over `domains` domains in turn.
+/// `count` instances with ids from 1, round-robin over `domains` domains.
 std::vector<SampleInstance> SampleInstances(std::uint32_t count,
                                             std::uint32_t domains);
 
--- a/tests/core/fleet/spread_test.cc
+++ b/tests/core/fleet/spread_test.cc
@@ -1,4 +1,4 @@
-/// Changes of documents on their way through the fleet.
+/// The spread of document changes through the fleet.
 #include <boost/test/data/monomorphic.hpp>
 #include <boost/test/data/test_case.hpp>
 #include <boost/test/unit_test.hpp>
@@ -26,7 +26,7 @@
 
 const FleetShape kShapes[] = {{1, 1}, {2, 1}, {8, 3}, {16, 1}, {28, 7}};
 
-Document Changed(std::uint64_t revision) {
+Document ChangedConfiguration(std::uint64_t revision) {
   return WithEntry(ConfigurationOf(1, kTargets), revision, "targets/00002",
                    std::to_string(revision));
 }
@@ -42,17 +42,20 @@
   return readers;
 }
 
+// While a change spreads, instances place flows by different configurations.
 BOOST_DATA_TEST_CASE(a_change_is_soon_in_force_everywhere, kShapes, row) {
   FleetNetwork network(kSeed);
   network.StartAll(SampleInstances(row.instances, row.domains), kTargets);
   BOOST_REQUIRE(network.InForceEverywhere(1));
 
-  network.Publish(Changed(2));
+  network.Publish(ChangedConfiguration(2));
   network.RunFor(200ms);
 
   BOOST_TEST(network.InForceEverywhere(2));
 }
 
+// Too many readers would exceed the platform's rate limit; with too few, one
+// failure would cut a domain off from changes.
 BOOST_AUTO_TEST_CASE(each_domain_has_its_published_count_of_readers) {
   FleetNetwork network(kSeed);
   network.StartAll(SampleInstances(24, 3), kTargets);
@@ -62,10 +65,10 @@
   }
 }
 
-// Messages are lost, come late and come twice on poor links. Every instance
-// must still end at the newest revision, or callers of one instance would meet
-// targets that the others have long dropped.
-BOOST_DATA_TEST_CASE(loss_is_healed_by_digests,
+// Links lose, delay and duplicate messages. Every instance must still reach the
+// newest revision, or one would keep sending callers to targets that the others
+// have dropped.
+BOOST_DATA_TEST_CASE(digests_repair_message_loss,
                      boost::unit_test::data::xrange(1, 6), seed) {
   FleetNetwork network(static_cast<std::uint64_t>(seed),
                        {.delay_between = 20ms,
@@ -74,7 +77,7 @@
                         .repeat_percent = 10});
   network.StartAll(SampleInstances(12, 3), kTargets);
   for (std::uint64_t revision = 2; revision <= 12; ++revision) {
-    network.Publish(Changed(revision));
+    network.Publish(ChangedConfiguration(revision));
     network.RunFor(300ms);
   }
 
@@ -83,9 +86,8 @@
   BOOST_TEST(network.InForceEverywhere(12));
 }
 
-// The platform can't be reached by the instances that read it in one domain,
-// because both are dead or a switch cuts them off. The domain must still get
-// changes, from the other domains.
+// The instances of one domain can't reach the platform, for example because of
+// a broken switch. The domain must get changes from the other domains.
 BOOST_AUTO_TEST_CASE(a_domain_without_the_platform_learns_from_others) {
   FleetNetwork network(kSeed);
   network.StartAll(SampleInstances(12, 3), kTargets);
@@ -93,15 +95,15 @@
     fleet.platform_cut = fleet.identity.domain == 2;
   }
 
-  network.Publish(Changed(2));
+  network.Publish(ChangedConfiguration(2));
   network.RunFor(1000ms);
 
   BOOST_TEST(network.InForceEverywhere(2));
 }
 
-// Both readers of a domain die at once. The next in order must take over
-// without an election, and changes go on arriving.
-BOOST_AUTO_TEST_CASE(dead_readers_are_followed_by_the_next_in_order) {
+// Both readers of a domain die at once. The next instances in rendezvous order
+// must take over without an election, or the domain would get no more changes.
+BOOST_AUTO_TEST_CASE(dead_readers_are_replaced_by_the_next_ranked) {
   FleetNetwork network(kSeed);
   network.StartAll(SampleInstances(8, 1), kTargets);
   for (auto& [id, fleet] : network.All()) {
@@ -109,24 +111,24 @@
   }
 
   network.RunFor(8000ms);
-  network.Publish(Changed(2));
+  network.Publish(ChangedConfiguration(2));
   network.RunFor(500ms);
 
   BOOST_TEST(CountReaders(network, 1) == 2U);
   BOOST_TEST(network.InForceEverywhere(2));
 }
 
-// The platform is down for long and comes back with an older copy. Nothing may
-// stop meanwhile, and nothing may revert afterwards.
+// The platform is down for a long time and returns with an older revision.
+// Leases must stay held during the outage, and no revision may revert after it.
 BOOST_AUTO_TEST_CASE(an_outage_and_an_older_copy_change_nothing) {
   FleetNetwork network(kSeed);
   network.StartAll(SampleInstances(8, 3), kTargets);
-  network.Publish(Changed(5));
+  network.Publish(ChangedConfiguration(5));
   network.RunFor(1000ms);
 
   network.SetPlatformUp(false);
   network.RunFor(30s);
-  network.Publish(Changed(4));
+  network.Publish(ChangedConfiguration(4));
   network.SetPlatformUp(true);
   network.RunFor(5000ms);
 
@@ -136,8 +138,8 @@
   }
 }
 
-// An operator publishes an invalid document. Each reader says so once; it goes
-// no further, and the next valid one is taken by all.
+// An operator publishes an invalid document. Each reader must refuse it once
+// and not relay it, and all instances must accept the next valid one.
 BOOST_AUTO_TEST_CASE(an_invalid_document_is_not_relayed) {
   FleetNetwork network(kSeed);
   network.StartAll(SampleInstances(8, 1), kTargets);
@@ -152,14 +154,14 @@
   }
   BOOST_TEST(refusals == 2U);
   BOOST_TEST(network.InForceEverywhere(1));
-  network.Publish(Changed(3));
+  network.Publish(ChangedConfiguration(3));
   network.RunFor(500ms);
   BOOST_TEST(network.InForceEverywhere(3));
 }
 
-// A peer with a fault in its memory sends text that isn't what it names. The
-// delta must be refused and the right text asked for.
-BOOST_AUTO_TEST_CASE(a_delta_with_a_wrong_digest_is_refused_and_healed) {
+// A peer with corrupted memory sends a delta whose content doesn't match its
+// digest. It must be refused and the correct content requested.
+BOOST_AUTO_TEST_CASE(a_delta_with_a_wrong_digest_is_refused_and_refetched) {
   FleetNetwork network(kSeed);
   network.StartAll(SampleInstances(4, 1), kTargets);
   DocumentDelta wrong;
@@ -173,13 +175,13 @@
 
   BOOST_TEST(network.Of(1).fleet->Status().configuration.revision.value == 1U);
   BOOST_TEST(network.Of(1).fleet->Status().deltas_refused == 1U);
-  network.Publish(Changed(3));
+  network.Publish(ChangedConfiguration(3));
   network.RunFor(4000ms);
   BOOST_TEST(network.InForceEverywhere(3));
 }
 
-/// Refuses that any configuration follows another.
-class FixedReader final : public DocumentReader {
+/// Refuses every change of a configuration in force.
+class NoChangeReader final : public DocumentReader {
  public:
   tl::expected<Configuration, DocumentFaults> ReadConfiguration(
       const Document& document) const override {
@@ -198,12 +200,12 @@
   SampleReader sample;
 };
 
-// Someone publishes another hash seed. The fleet refuses it, since it would
+// The fleet refuses a configuration with a different hash seed, since it would
 // move every flow. An instance that joins afterwards reads only the refused
-// revision from the platform; taking it, it alone would send every caller's
-// packets elsewhere than its peers do.
+// revision from the platform. If it accepted that, it alone would forward all
+// callers' packets elsewhere than its peers do.
 BOOST_AUTO_TEST_CASE(a_joining_instance_follows_what_its_peers_have_in_force) {
-  const FixedReader reader;
+  const NoChangeReader reader;
   const auto fleet = MakeFleet({{1}, {1}, {1}}, reader, kSeed);
   FleetOutbox outbox;
   fleet->OnPlatformDocument(ConfigurationOf(8, kTargets), 0ms, outbox);
--- a/tests/core/fleet/storm_test.cc
+++ b/tests/core/fleet/storm_test.cc
@@ -1,4 +1,4 @@
-/// Many failures at once, in orders nobody chose.
+/// Random sequences of overlapping failures.
 #include <boost/test/data/monomorphic.hpp>
 #include <boost/test/data/test_case.hpp>
 #include <boost/test/unit_test.hpp>
@@ -15,9 +15,9 @@
 constexpr std::uint32_t kDomains = 3;
 constexpr std::uint32_t kTargets = 18;
 
-/// Breaks or mends one thing chosen by `random`.
-void DoSomething(FleetNetwork& network, std::mt19937& random,
-                 std::uint64_t& revision) {
+/// Applies one random fault, repair or configuration change.
+void ApplyRandomEvent(FleetNetwork& network, std::mt19937& random,
+                      std::uint64_t& revision) {
   const auto pick = [&random](std::uint32_t count) {
     return 1 + static_cast<std::uint32_t>(random() % count);
   };
@@ -36,7 +36,7 @@
       network.Pause(id);
       break;
     case 3:
-      network.Wake(id);
+      network.Resume(id);
       break;
     case 4:
       network.CutOneWay(id, pick(kInstances));
@@ -55,12 +55,12 @@
   }
 }
 
-/// Mends everything; whoever is down starts in a new life.
-void MendAll(FleetNetwork& network) {
+/// Repairs all faults; dead instances start as a new incarnation.
+void RepairAll(FleetNetwork& network) {
   network.Heal();
   network.SetPlatformUp(true);
   for (std::uint32_t id = 1; id <= kInstances; ++id) {
-    network.Wake(id);
+    network.Resume(id);
     if (!network.Of(id).running) {
       SampleInstance next = network.Of(id).identity;
       ++next.incarnation;
@@ -69,11 +69,11 @@
   }
 }
 
-// Instances die, start and pause, links and the platform come and go, and the
-// configuration changes meanwhile. Whatever happened, once all is mended every
-// instance must agree on the members and the newest revision and hold its
-// lease; else some callers' packets would meet two owners for good.
-BOOST_DATA_TEST_CASE(after_any_storm_everyone_agrees,
+// Instances die, start and pause, links and the platform fail and recover, and
+// the configuration changes meanwhile. Once all faults are repaired, all
+// instances must agree on the members and the newest revision and hold their
+// leases, or some callers' packets would reach two owners for good.
+BOOST_DATA_TEST_CASE(the_fleet_converges_after_random_failures,
                      boost::unit_test::data::xrange(1, 13), seed) {
   std::mt19937 random(static_cast<std::uint32_t>(seed));
   FleetNetwork network(static_cast<std::uint64_t>(seed),
@@ -81,27 +81,26 @@
   network.StartAll(SampleInstances(kInstances, kDomains), kTargets);
   std::uint64_t revision = 1;
   for (int step = 0; step < 60; ++step) {
-    DoSomething(network, random, revision);
+    ApplyRandomEvent(network, random, revision);
     network.RunFor(std::chrono::milliseconds(random() % 3000));
   }
 
-  MendAll(network);
+  RepairAll(network);
   network.RunFor(150s);
 
   BOOST_TEST(network.InForceEverywhere(revision));
   for (auto& [id, fleet] : network.All()) {
     BOOST_TEST_CONTEXT("instance " << id) {
-      BOOST_TEST(network.AllBelieve(id, InstanceUse::kOwner));
+      BOOST_TEST(network.AllSee(id, InstanceUse::kOwner));
       BOOST_TEST((fleet.view->lease == Lease::kHeld));
       BOOST_TEST(fleet.view->unreachable.empty());
     }
   }
 }
 
-// The same, watched throughout: a revision that was in force never gives way to
-// an older one, on any instance, or operators would see a removed target come
-// back.
-BOOST_DATA_TEST_CASE(no_storm_reverts_a_revision,
+// During such failures, no instance may ever replace a revision in force by an
+// older one, or a removed target would come back.
+BOOST_DATA_TEST_CASE(random_failures_never_revert_a_revision,
                      boost::unit_test::data::xrange(20, 26), seed) {
   std::mt19937 random(static_cast<std::uint32_t>(seed));
   FleetNetwork network(static_cast<std::uint64_t>(seed),
@@ -109,7 +108,7 @@
   network.StartAll(SampleInstances(kInstances, kDomains), kTargets);
   std::uint64_t revision = 1;
   for (int step = 0; step < 60; ++step) {
-    DoSomething(network, random, revision);
+    ApplyRandomEvent(network, random, revision);
     network.RunFor(std::chrono::milliseconds(random() % 1000));
   }
 
--- a/tests/peer/sample_messages.h
+++ b/tests/peer/sample_messages.h
@@ -15,7 +15,7 @@
   const core::DocumentEntry entry{"targets/diary-01", R"({"id":1})"};
   return {
       core::Heartbeat{{3}, 9, true, false, true, {digest, digest}, 11, 12},
-      core::MemberReport{{4}, {5}, {6}, 7, 8, core::MemberWord::kSuspected},
+      core::MemberReport{{4}, {5}, {6}, 7, 8, core::MemberState::kSuspected},
       core::DocumentRequest{DocumentKind::kInstances, digest},
       core::DocumentDelta{DocumentKind::kConfiguration,
                           {6},
