--- a/tests/core/differential/explore.cc
+++ b/tests/core/differential/explore.cc
@@ -1,4 +1,5 @@
-/// Looks for failing histories with fresh seeds: core_explore FIRST_SEED SEEDS.
+/// Searches for failing histories with new seeds: core_explore FIRST_SEED
+/// SEEDS.
 #include <cstdint>
 #include <iostream>
 #include <string>
--- a/tests/core/differential/open_faults_test.cc
+++ b/tests/core/differential/open_faults_test.cc
@@ -1,4 +1,4 @@
-/// Seeds that core_explore found and that still fail; KNOWN-RED.txt names this
+/// Seeds that core_explore found and that still fail; KNOWN-RED.txt lists this
 /// program. A seed that passes again moves to differential_test.cc.
 #define BOOST_TEST_MODULE core_open_faults
 #include <boost/test/data/monomorphic.hpp>
@@ -21,8 +21,9 @@
     {Mix::kPlanned, 910937, 60, false},
 };
 
-// Guards against two owners at once that don't find each other by asking: one
-// places a flow, the other sends its next packet to the fallback.
+// Guards against two simultaneous owners of a partition that don't discover
+// each other by asking: one places a flow, the other sends its next packet to
+// the fallback.
 BOOST_DATA_TEST_CASE(no_flow_breaks_between_two_owners, kTwoOwners, row) {
   const std::string wrong = Check(row);
 
@@ -34,8 +35,8 @@
     {Mix::kPlanned, 910883, 60, false},
 };
 
-// Guards against a caller that hears nothing for half a minute: all targets
-// drain, and an owner that has just come drops its SYN in place of refusing it.
+// Guards against a caller that gets no answer for half a minute: all targets
+// drain, and a new owner drops its SYN instead of refusing it.
 BOOST_DATA_TEST_CASE(a_flow_without_target_is_refused_at_once, kNoTarget, row) {
   const std::string wrong = Check(row);
 
--- a/tests/core/differential/properties.cc
+++ b/tests/core/differential/properties.cc
@@ -8,13 +8,14 @@
 namespace sassafrasdyke::core::testing {
 namespace {
 
-constexpr int kMostEvents = 80;
+constexpr int kMaxEvents = 80;
 
-/// A number from the whole range, however small the history is; plain ranges
-/// start small and would leave out the events at their end.
+/// Generates numbers from the whole range at every test size. A plain range
+/// grows with the size, so small histories would never contain the last event
+/// kinds.
 template <typename T>
-rc::Gen<T> AnyOf(T least, T end) {
-  return rc::gen::resize(rc::kNominalSize, rc::gen::inRange<T>(least, end));
+rc::Gen<T> InFullRange(T min, T end) {
+  return rc::gen::resize(rc::kNominalSize, rc::gen::inRange<T>(min, end));
 }
 
 rc::Gen<Event> AnyEvent(Mix mix) {
@@ -23,17 +24,18 @@
   return rc::gen::build<Event>(
       rc::gen::set(
           &Event::kind,
-          rc::gen::map(AnyOf(0, static_cast<int>(end)),
+          rc::gen::map(InFullRange(0, static_cast<int>(end)),
                        [](int kind) { return static_cast<EventKind>(kind); })),
-      rc::gen::set(&Event::pick, AnyOf<std::uint32_t>(0, 1000)));
+      rc::gen::set(&Event::pick, InFullRange<std::uint32_t>(0, 1000)));
 }
 
 rc::Gen<History> AnyHistory(Mix mix) {
   return rc::gen::build<History>(
-      rc::gen::set(&History::domains, AnyOf<std::uint32_t>(1, 4)),
-      rc::gen::set(&History::lost_percent, AnyOf<std::uint32_t>(0, 20)),
-      rc::gen::set(&History::repeated_percent, AnyOf<std::uint32_t>(0, 20)),
-      rc::gen::set(&History::seed, AnyOf<std::uint64_t>(1, 1'000'000)),
+      rc::gen::set(&History::domains, InFullRange<std::uint32_t>(1, 4)),
+      rc::gen::set(&History::lost_percent, InFullRange<std::uint32_t>(0, 20)),
+      rc::gen::set(&History::repeated_percent,
+                   InFullRange<std::uint32_t>(0, 20)),
+      rc::gen::set(&History::seed, InFullRange<std::uint64_t>(1, 1'000'000)),
       rc::gen::set(&History::events,
                    rc::gen::container<std::vector<Event>>(AnyEvent(mix))));
 }
@@ -44,7 +46,8 @@
   const Mix mix = trials.mix;
   const auto property = [mix] {
     const History history = *AnyHistory(mix);
-    const std::vector<std::string> faults = Play(history, mix == Mix::kPlanned);
+    const std::vector<std::string> faults =
+        RunHistory(history, mix == Mix::kPlanned);
     if (!faults.empty()) {
       std::ostringstream text;
       text << history << '\n'
@@ -55,7 +58,7 @@
   rc::detail::TestParams params;
   params.seed = trials.seed;
   params.maxSuccess = trials.histories;
-  params.maxSize = kMostEvents;
+  params.maxSize = kMaxEvents;
   params.disableShrinking = !trials.shrinks;
   rc::detail::TestMetadata metadata;
   metadata.description = "random histories";
--- a/tests/core/differential/properties.h
+++ b/tests/core/differential/properties.h
@@ -1,4 +1,4 @@
-/// The properties that random histories must have.
+/// Property-based checks of random histories.
 #pragma once
 
 #include <rapidcheck.h>
@@ -8,23 +8,23 @@
 
 namespace sassafrasdyke::core::testing {
 
-/// Which events a property's histories are made of.
+/// Which kinds of events the histories contain.
 enum class Mix {
-  kPlanned,  ///< What operators and callers do: no flow may break.
-  kAny,      ///< Faults, too: the promises hold, flows may break.
+  kPlanned,  ///< Actions of operators and callers: no flow may break.
+  kAny,      ///< Faults, too: flows may break, the guarantees hold.
 };
 
-/// How many histories a check tries, from which seed.
+/// The number of random histories that a check runs, and their seed.
 struct Trials {
   Mix mix{Mix::kPlanned};
   std::uint64_t seed{1};
   int histories{20};
-  /// Looks for the shortest history that fails; takes up to a minute.
+  /// Shrinks a failing history; takes up to a minute.
   bool shrinks{true};
 };
 
-/// Tries histories, and shrinks the first that fails. Returns what is wrong,
-/// empty when nothing is.
+/// Runs random histories and shrinks the first that fails. Returns a
+/// description of the failure, empty when there is none.
 std::string Check(const Trials& trials);
 
 }  // namespace sassafrasdyke::core::testing
--- a/tests/core/differential/random_events.cc
+++ b/tests/core/differential/random_events.cc
@@ -16,10 +16,10 @@
 
 constexpr std::uint32_t kServices = 2;
 constexpr std::uint32_t kInstancesPerDomain = 3;
-constexpr std::size_t kLeastOwners = 2;
-constexpr std::size_t kMostInstances = 12;
+constexpr std::size_t kMinOwners = 2;
+constexpr std::size_t kMaxInstances = 12;
 constexpr std::chrono::milliseconds kStep = 100ms;
-constexpr std::chrono::milliseconds kQuiet = 10s;
+constexpr std::chrono::milliseconds kIdleTime = 10s;
 
 const char* NameOf(EventKind kind) {
   static constexpr const char* kNames[] = {
@@ -29,7 +29,7 @@
   return kNames[static_cast<std::size_t>(kind)];
 }
 
-void Tell(std::ostream& out, const FlowDecision& decision) {
+void Print(std::ostream& out, const FlowDecision& decision) {
   if (const auto* placed = std::get_if<FlowPlaced>(&decision.what)) {
     out << "placed at " << placed->target << ", " << Word(placed->reason);
   } else if (const auto* found = std::get_if<FlowRecovered>(&decision.what)) {
@@ -41,8 +41,9 @@
   }
 }
 
-/// What the fleet decided about a flow and its partition, one line each.
-std::string Story(const SmallFleet& fleet, const common::FlowKey& flow) {
+/// The fleet's decisions about a flow and its partition, one per line.
+std::string DescribeDecisions(const SmallFleet& fleet,
+                              const common::FlowKey& flow) {
   std::ostringstream text;
   PartitionKey partition;
   for (const LoggedDecision& entry : fleet.Log()) {
@@ -56,7 +57,7 @@
     line << "\n  " << entry.at.count() << " ms, instance " << entry.by << ": ";
     if (const auto* const about = std::get_if<FlowDecision>(&entry.decision);
         about != nullptr && about->flow == flow) {
-      Tell(line, *about);
+      Print(line, *about);
       text << line.str();
     }
     if (const auto* const about =
@@ -70,10 +71,10 @@
   return text.str();
 }
 
-/// Applies events to one fleet.
-class Player {
+/// Runs one history on a fleet.
+class HistoryRunner {
  public:
-  explicit Player(const History& history)
+  explicit HistoryRunner(const History& history)
       : history(history), fleet(PlanOf(history)), callers(this->fleet) {}
 
   std::vector<std::string> Run(bool flows_must_survive) {
@@ -85,12 +86,12 @@
     for (std::uint32_t domain = 1; domain <= this->history.domains; ++domain) {
       this->fleet.Heal({domain});
     }
-    this->fleet.TellAll();
+    this->fleet.PublishToAll();
     this->Pass(5s);
     this->callers.SpeakAll();
     std::vector<std::string> faults = this->callers.Faults();
     if (flows_must_survive) {
-      this->NameBroken(faults);
+      this->AddBrokenFlows(faults);
     }
     return faults;
   }
@@ -103,7 +104,7 @@
                                               .domains = history.domains,
                                               .partitions = 8});
     for (Service& service : plan.configuration.services) {
-      // Short, so that fallbacks move within a history.
+      // Short enough for fallbacks to change within a history.
       service.policy.established_idle = 30s;
     }
     plan.instances = kInstancesPerDomain * history.domains;
@@ -114,17 +115,17 @@
     return plan;
   }
 
-  void NameBroken(std::vector<std::string>& faults) const {
+  void AddBrokenFlows(std::vector<std::string>& faults) const {
     for (const ModelFlow& flow : this->callers.Flows()) {
-      const bool broken = flow.fate == FlowFate::kMisrouted ||
-                          flow.fate == FlowFate::kReset ||
-                          flow.fate == FlowFate::kStalled;
+      const bool broken = flow.state == ModelFlowState::kMisrouted ||
+                          flow.state == ModelFlowState::kReset ||
+                          flow.state == ModelFlowState::kStalled;
       if (broken) {
         std::ostringstream text;
         text << flow.key.ToString() << " broke, opened at "
              << flow.opened_at.count() << " ms at target " << flow.target
              << ", last path " << flow.last_path
-             << Story(this->fleet, flow.key);
+             << DescribeDecisions(this->fleet, flow.key);
         faults.push_back(text.str());
       }
     }
@@ -136,7 +137,7 @@
       this->fleet.Pass(kStep);
       this->callers.Open(
           1 + static_cast<std::uint32_t>(this->fleet.Random(kServices)));
-      this->callers.SpeakIfQuiet(kQuiet);
+      this->callers.SendIfIdle(kIdleTime);
       this->callers.Retry();
     }
   }
@@ -152,8 +153,8 @@
                            : running[pick % running.size()];
   }
 
-  /// Owners that would remain in the instance's domain without it.
-  bool MayGo(common::InstanceId id) const {
+  /// Whether enough owners remain in the instance's domain without it.
+  bool MayRemove(common::InstanceId id) const {
     std::size_t others = 0;
     for (const common::InstanceId other : this->fleet.Running()) {
       others += other != id && !this->leaving.contains(other) &&
@@ -161,7 +162,7 @@
                     ? 1
                     : 0;
     }
-    return id.value != 0 && others >= kLeastOwners;
+    return id.value != 0 && others >= kMinOwners;
   }
 
   void Change(std::uint32_t pick, const std::function<void(Target&)>& change) {
@@ -190,7 +191,7 @@
         this->callers.Open(1 + event.pick % kServices);
         break;
       case EventKind::kKnock:
-        this->callers.Knock(1 + event.pick % kServices);
+        this->callers.SendSynOnly(1 + event.pick % kServices);
         break;
       case EventKind::kClose:
         this->callers.Close(event.pick);
@@ -217,13 +218,14 @@
         });
         break;
       case EventKind::kLeave:
-        if (const auto id = this->PickInstance(event.pick); this->MayGo(id)) {
+        if (const auto id = this->PickInstance(event.pick);
+            this->MayRemove(id)) {
           this->leaving[id] = true;
           this->fleet.Leave(id);
         }
         break;
       case EventKind::kJoin:
-        if (this->fleet.Running().size() < kMostInstances) {
+        if (this->fleet.Running().size() < kMaxInstances) {
           this->fleet.Join({1 + event.pick % this->history.domains});
         }
         break;
@@ -240,7 +242,7 @@
         break;
       }
       default:
-        this->fleet.TellAll();
+        this->fleet.PublishToAll();
         break;
     }
   }
@@ -254,7 +256,7 @@
     const common::DomainId domain{1 + event.pick % this->history.domains};
     switch (event.kind) {
       case EventKind::kKill:
-        if (this->MayGo(instance)) {
+        if (this->MayRemove(instance)) {
           this->fleet.Kill(instance);
         }
         break;
@@ -318,8 +320,9 @@
   return out;
 }
 
-std::vector<std::string> Play(const History& history, bool flows_must_survive) {
-  return Player(history).Run(flows_must_survive);
+std::vector<std::string> RunHistory(const History& history,
+                                    bool flows_must_survive) {
+  return HistoryRunner(history).Run(flows_must_survive);
 }
 
 }  // namespace sassafrasdyke::core::testing
--- a/tests/core/differential/random_events.h
+++ b/tests/core/differential/random_events.h
@@ -1,4 +1,4 @@
-/// Random events for a small fleet, and what must hold after each.
+/// Histories of random events, and their execution on a simulated fleet.
 #pragma once
 
 #include <cstdint>
@@ -8,11 +8,11 @@
 
 namespace sassafrasdyke::core::testing {
 
-/// What may happen. The first group is what operators and callers do; no flow
-/// may break by it. The second is what fails.
+/// The kinds of events. Those before `kFirstFault` are actions of operators and
+/// callers, which may break no flow; the others are faults.
 enum class EventKind : std::uint8_t {
   kOpen,
-  kKnock,
+  kKnock,  ///< Opens a flow and sends only its SYN.
   kClose,
   kPass,
   kDrain,
@@ -21,8 +21,8 @@
   kWeight,
   kLeave,
   kJoin,
-  kPublishToSome,
-  kTellAll,
+  kPublishToSome,  ///< Some instances keep the older configuration.
+  kTellAll,        ///< All instances get the latest configuration.
   kFirstFault,
   kKill = kFirstFault,
   kReplace,
@@ -30,12 +30,13 @@
   kCut,
   kHeal,
   kRemoveTarget,
-  kRebirth,
-  kReport,
+  kRebirth,  ///< Another target gets the id of a published one.
+  kReport,   ///< A prober reports a target's health, true or not.
   kCount,
 };
 
-/// One event; `pick` selects what it happens to.
+/// One event; `pick` selects the flow, target, instance or domain, and other
+/// parameters.
 struct Event {
   EventKind kind{EventKind::kPass};
   std::uint32_t pick{0};
@@ -43,7 +44,7 @@
 
 std::ostream& operator<<(std::ostream& out, const Event& event);
 
-/// A fleet and what happens to it.
+/// The parameters of a fleet and the events that it goes through.
 struct History {
   std::uint32_t domains{1};
   std::uint32_t lost_percent{0};
@@ -54,8 +55,9 @@
 
 std::ostream& operator<<(std::ostream& out, const History& history);
 
-/// Plays a history. Returns what broke a promise, one line each. Broken flows
-/// count only when `flows_must_survive`.
-std::vector<std::string> Play(const History& history, bool flows_must_survive);
+/// Runs a history on a fleet. Returns one description per violated guarantee.
+/// Broken flows count only with `flows_must_survive`.
+std::vector<std::string> RunHistory(const History& history,
+                                    bool flows_must_survive);
 
 }  // namespace sassafrasdyke::core::testing
--- a/tests/core/model/callers.cc
+++ b/tests/core/model/callers.cc
@@ -8,9 +8,9 @@
 namespace sassafrasdyke::core::testing {
 namespace {
 
-constexpr std::chrono::milliseconds kGivesUpAfter{std::chrono::seconds{30}};
-constexpr std::chrono::milliseconds kRetryPause{500};
-constexpr std::uint32_t kPayload = 100;
+constexpr std::chrono::milliseconds kStallTimeout{std::chrono::seconds{30}};
+constexpr std::chrono::milliseconds kRetryInterval{500};
+constexpr std::uint32_t kPayloadBytes = 100;
 constexpr int kFinalRounds = 70;
 
 const Target* FindTarget(const Configuration& configuration,
@@ -23,9 +23,9 @@
   return nullptr;
 }
 
-std::string PathOf(const Fate& fate) {
+std::string PathOf(const PacketOutcome& outcome) {
   std::ostringstream text;
-  for (const common::InstanceId id : fate.path) {
+  for (const common::InstanceId id : outcome.path) {
     text << id << ' ';
   }
   return text.str();
@@ -33,93 +33,95 @@
 
 }  // namespace
 
-void Callers::Knock(std::uint32_t service) {
+void Callers::SendSynOnly(std::uint32_t service) {
   ModelFlow flow;
   flow.key = FlowOf(this->next_caller++, service);
   flow.service = service;
   flow.opened_at = this->fleet.Now();
-  this->alive.push_back(this->flows.size());
+  this->live_flows.push_back(this->flows.size());
   this->flows.push_back(flow);
   this->SendSyn(this->flows.back());
 }
 
 void Callers::Open(std::uint32_t service) {
-  this->Knock(service);
-  if (this->flows.back().fate == FlowFate::kOpen) {
+  this->SendSynOnly(service);
+  if (this->flows.back().state == ModelFlowState::kOpen) {
     this->SendData(this->flows.back());
   }
 }
 
-bool Callers::TargetReachable(const Fate& fate) const {
-  const Target* const target = FindTarget(this->fleet.Published(), fate.target);
-  if (target == nullptr || target->tunnel != fate.tunnel) {
-    return false;  // It has stopped.
+bool Callers::TargetReachable(const PacketOutcome& outcome) const {
+  const Target* const target =
+      FindTarget(this->fleet.Published(), outcome.target);
+  if (target == nullptr || target->tunnel != outcome.tunnel) {
+    return false;  // The target has stopped.
   }
-  const common::DomainId from = this->fleet.DomainOf(fate.decided_by);
+  const common::DomainId from = this->fleet.DomainOf(outcome.decided_by);
   return from == target->domain ||
          (!this->fleet.IsCut(from) && !this->fleet.IsCut(target->domain));
 }
 
 void Callers::SendSyn(ModelFlow& flow) {
-  const Fate fate = this->fleet.Send(this->fleet.AnyRunning(), Syn(flow.key));
-  flow.last_path = PathOf(fate);
-  if (fate.kind == Fate::Kind::kReset) {
-    this->CheckReset(flow, fate);
-    flow.fate = FlowFate::kRefused;
+  const PacketOutcome outcome =
+      this->fleet.Send(this->fleet.AnyRunning(), Syn(flow.key));
+  flow.last_path = PathOf(outcome);
+  if (outcome.kind == PacketOutcome::Kind::kReset) {
+    this->CheckReset(flow, outcome);
+    flow.state = ModelFlowState::kRefused;
     return;
   }
-  if (fate.kind != Fate::Kind::kForwarded) {
+  if (outcome.kind != PacketOutcome::Kind::kForwarded) {
     this->OnStalled(flow);
     return;
   }
-  this->CheckForwarded(flow, fate);
+  this->CheckForwarded(flow, outcome);
   flow.syn_forwarded = true;
-  if (!this->TargetReachable(fate)) {
+  if (!this->TargetReachable(outcome)) {
     this->OnStalled(flow);
     return;
   }
   flow.stalled_since.reset();
-  flow.target = fate.target;
-  flow.tunnel = fate.tunnel;
-  flow.fate = FlowFate::kOpen;
+  flow.target = outcome.target;
+  flow.tunnel = outcome.tunnel;
+  flow.state = ModelFlowState::kOpen;
 }
 
 void Callers::SendData(ModelFlow& flow) {
   const bool is_repeat = flow.stalled_since.has_value();
-  flow.spoken_at = this->fleet.Now();
-  flow.sequence += is_repeat ? 0 : kPayload;
-  const Fate fate = this->fleet.Send(this->fleet.AnyRunning(),
-                                     Data(flow.key, flow.sequence, kPayload));
-  flow.last_path = PathOf(fate);
-  if (fate.kind == Fate::Kind::kReset) {
-    this->CheckReset(flow, fate);
-    flow.fate = FlowFate::kReset;
+  flow.last_sent_at = this->fleet.Now();
+  flow.sequence += is_repeat ? 0 : kPayloadBytes;
+  const PacketOutcome outcome = this->fleet.Send(
+      this->fleet.AnyRunning(), Data(flow.key, flow.sequence, kPayloadBytes));
+  flow.last_path = PathOf(outcome);
+  if (outcome.kind == PacketOutcome::Kind::kReset) {
+    this->CheckReset(flow, outcome);
+    flow.state = ModelFlowState::kReset;
     return;
   }
-  if (fate.kind != Fate::Kind::kForwarded) {
+  if (outcome.kind != PacketOutcome::Kind::kForwarded) {
     this->OnStalled(flow);
     return;
   }
-  this->CheckForwarded(flow, fate);
+  this->CheckForwarded(flow, outcome);
   flow.payload_sent = true;
-  if (!this->TargetReachable(fate)) {
+  if (!this->TargetReachable(outcome)) {
     this->OnStalled(flow);
     return;
   }
   flow.stalled_since.reset();
-  if (fate.tunnel != flow.tunnel) {
-    flow.fate = FlowFate::kMisrouted;
+  if (outcome.tunnel != flow.tunnel) {
+    flow.state = ModelFlowState::kMisrouted;
     return;
   }
-  flow.ran_at.insert(fate.target);
+  flow.payload_targets.insert(outcome.target);
 }
 
 void Callers::OnStalled(ModelFlow& flow) {
   if (!flow.stalled_since) {
     flow.stalled_since = this->fleet.Now();
   }
-  if (this->fleet.Now() - *flow.stalled_since > kGivesUpAfter) {
-    flow.fate = FlowFate::kStalled;
+  if (this->fleet.Now() - *flow.stalled_since > kStallTimeout) {
+    flow.state = ModelFlowState::kStalled;
   }
 }
 
@@ -130,64 +132,67 @@
       [&tunnel](const Target& target) { return target.tunnel == tunnel; });
 }
 
-void Callers::CheckForwarded(ModelFlow& flow, const Fate& fate) {
-  flow.sent_to.push_back(fate.tunnel);
-  if (fate.target.value / kTargetsPerServiceLimit != flow.service) {
-    this->Fail(flow, fate, "reached another service");
+void Callers::CheckForwarded(ModelFlow& flow, const PacketOutcome& outcome) {
+  flow.sent_to.push_back(outcome.tunnel);
+  if (outcome.target.value / kTargetsPerServiceLimit != flow.service) {
+    this->RecordFault(flow, outcome, "reached another service");
   }
-  if (flow.fate != FlowFate::kConnecting || flow.syn_forwarded) {
+  if (flow.state != ModelFlowState::kConnecting || flow.syn_forwarded) {
     return;
   }
-  // A new flow: the instance that placed it knew a revision, and whatever that
-  // revision drains must not have got it.
-  const Target* const target = FindTarget(this->fleet.Published(), fate.target);
+  // A new flow must not go to a target that drains in the revision in force on
+  // the instance that placed it.
+  const Target* const target =
+      FindTarget(this->fleet.Published(), outcome.target);
   const bool draining =
       target == nullptr || target->state == TargetState::kDraining;
-  if (draining && fate.revision == this->fleet.Published().revision) {
-    this->Fail(flow, fate, "new work on a leaving target");
+  if (draining && outcome.revision == this->fleet.Published().revision) {
+    this->RecordFault(flow, outcome, "new work on a leaving target");
   }
 }
 
-void Callers::CheckReset(const ModelFlow& flow, const Fate& fate) {
-  if (fate.reset == ResetReason::kNotRun && flow.payload_sent) {
-    this->Fail(flow, fate, "was told that it had not run");
+void Callers::CheckReset(const ModelFlow& flow, const PacketOutcome& outcome) {
+  if (outcome.reset == ResetReason::kNotRun && flow.payload_sent) {
+    this->RecordFault(flow, outcome, "was told that it had not run");
   }
-  const bool all_there = std::all_of(
+  const bool all_published = std::all_of(
       flow.sent_to.begin(), flow.sent_to.end(),
       [this](const common::Endpoint& to) { return this->IsPublished(to); });
-  if (fate.reset == ResetReason::kTargetGone && all_there) {
-    this->Fail(flow, fate, "was reset though its target is published");
+  if (outcome.reset == ResetReason::kTargetGone && all_published) {
+    this->RecordFault(flow, outcome,
+                      "was reset though its target is published");
   }
 }
 
-void Callers::Fail(const ModelFlow& flow, const Fate& fate,
-                   const std::string& what) {
+void Callers::RecordFault(const ModelFlow& flow, const PacketOutcome& outcome,
+                          const std::string& what) {
   std::ostringstream text;
   text << flow.key.ToString() << " " << what << " at "
        << this->fleet.Now().count() << " ms, target " << flow.target
-       << ", now to " << fate.target << " by " << PathOf(fate);
+       << ", now to " << outcome.target << " by " << PathOf(outcome);
   this->faults.push_back(text.str());
 }
 
 ModelFlow* Callers::Pick(std::uint64_t pick) {
-  while (!this->alive.empty()) {
-    const std::size_t at = pick % this->alive.size();
-    ModelFlow& flow = this->flows[this->alive[at]];
-    if (flow.fate == FlowFate::kOpen || flow.fate == FlowFate::kConnecting) {
+  while (!this->live_flows.empty()) {
+    const std::size_t at = pick % this->live_flows.size();
+    ModelFlow& flow = this->flows[this->live_flows[at]];
+    if (flow.state == ModelFlowState::kOpen ||
+        flow.state == ModelFlowState::kConnecting) {
       return &flow;
     }
-    this->alive[at] = this->alive.back();
-    this->alive.pop_back();
+    this->live_flows[at] = this->live_flows.back();
+    this->live_flows.pop_back();
   }
   return nullptr;
 }
 
-void Callers::Speak(std::uint64_t pick) {
+void Callers::SendNext(std::uint64_t pick) {
   ModelFlow* const flow = this->Pick(pick);
   if (flow == nullptr) {
     return;
   }
-  if (flow->fate == FlowFate::kConnecting) {
+  if (flow->state == ModelFlowState::kConnecting) {
     this->SendSyn(*flow);
   } else {
     this->SendData(*flow);
@@ -196,17 +201,17 @@
 
 void Callers::Close(std::uint64_t pick) {
   ModelFlow* const flow = this->Pick(pick);
-  if (flow == nullptr || flow->fate != FlowFate::kOpen) {
+  if (flow == nullptr || flow->state != ModelFlowState::kOpen) {
     return;
   }
   this->fleet.Send(this->fleet.AnyRunning(), Fin(flow->key, flow->sequence));
-  flow->fate = FlowFate::kClosed;
+  flow->state = ModelFlowState::kClosed;
 }
 
-void Callers::SpeakIfQuiet(std::chrono::milliseconds quiet) {
+void Callers::SendIfIdle(std::chrono::milliseconds idle) {
   for (ModelFlow& flow : this->flows) {
-    if (flow.fate == FlowFate::kOpen && !flow.stalled_since &&
-        this->fleet.Now() - flow.spoken_at >= quiet) {
+    if (flow.state == ModelFlowState::kOpen && !flow.stalled_since &&
+        this->fleet.Now() - flow.last_sent_at >= idle) {
       this->SendData(flow);
     }
   }
@@ -217,9 +222,9 @@
     if (!flow.stalled_since) {
       continue;
     }
-    if (flow.fate == FlowFate::kConnecting) {
+    if (flow.state == ModelFlowState::kConnecting) {
       this->SendSyn(flow);
-    } else if (flow.fate == FlowFate::kOpen) {
+    } else if (flow.state == ModelFlowState::kOpen) {
       this->SendData(flow);
     }
   }
@@ -227,12 +232,12 @@
 
 void Callers::SpeakAll() {
   for (ModelFlow& flow : this->flows) {
-    if (flow.fate == FlowFate::kOpen) {
+    if (flow.state == ModelFlowState::kOpen) {
       this->SendData(flow);
     }
   }
   for (int round = 0; round < kFinalRounds; ++round) {
-    this->fleet.Pass(kRetryPause);
+    this->fleet.Pass(kRetryInterval);
     this->Retry();
   }
 }
@@ -241,10 +246,10 @@
   ModelCounts counts;
   counts.opened = this->flows.size();
   for (const ModelFlow& flow : this->flows) {
-    counts.open += flow.fate == FlowFate::kOpen ? 1 : 0;
-    counts.misrouted += flow.fate == FlowFate::kMisrouted ? 1 : 0;
-    counts.reset += flow.fate == FlowFate::kReset ? 1 : 0;
-    counts.stalled += flow.fate == FlowFate::kStalled ? 1 : 0;
+    counts.open += flow.state == ModelFlowState::kOpen ? 1 : 0;
+    counts.misrouted += flow.state == ModelFlowState::kMisrouted ? 1 : 0;
+    counts.reset += flow.state == ModelFlowState::kReset ? 1 : 0;
+    counts.stalled += flow.state == ModelFlowState::kStalled ? 1 : 0;
   }
   return counts;
 }
@@ -257,7 +262,7 @@
     }
   }
   for (const ModelFlow& flow : this->flows) {
-    if (flow.fate == FlowFate::kOpen) {
+    if (flow.state == ModelFlowState::kOpen) {
       ++open[flow.target];
     }
   }
--- a/tests/core/model/callers.h
+++ b/tests/core/model/callers.h
@@ -1,4 +1,4 @@
-/// Callers and targets as a naive model: one map that knows every flow.
+/// A reference model of callers and targets that knows the state of every flow.
 #pragma once
 
 #include <chrono>
@@ -14,42 +14,42 @@
 
 namespace sassafrasdyke::core::testing {
 
-/// How a caller's flow fares.
-enum class FlowFate {
+/// A flow's state as its caller sees it.
+enum class ModelFlowState {
   kConnecting,
   kOpen,
   kClosed,
-  kMisrouted,  ///< A target that doesn't know it got its payload: it is reset.
+  kMisrouted,  ///< Its payload reached a target that doesn't have the flow.
   kReset,      ///< The balancer reset it.
-  kStalled,    ///< No answer for too long.
-  kRefused,    ///< A new flow that was told "not run".
+  kStalled,    ///< No answer until the caller gave up.
+  kRefused,    ///< Its SYN was reset.
 };
 
-/// One flow as its caller and its target know it.
+/// One flow with the state of its caller and its target.
 struct ModelFlow {
   common::FlowKey key;
   std::uint32_t service{0};
-  FlowFate fate{FlowFate::kConnecting};
-  /// The target whose SYN-ACK the caller took.
+  ModelFlowState state{ModelFlowState::kConnecting};
+  /// The target whose SYN-ACK the caller received.
   common::TargetId target;
-  /// Tells apart two lives of one target number.
+  /// Distinguishes targets that successively use one target id.
   common::Endpoint tunnel;
   std::uint32_t sequence{1};
   std::chrono::milliseconds opened_at{0};
-  std::chrono::milliseconds spoken_at{0};
-  /// Since when nothing gets through.
+  std::chrono::milliseconds last_sent_at{0};
+  /// Start of the time without an answer; nothing while answered.
   std::optional<std::chrono::milliseconds> stalled_since;
-  /// Targets that got any packet of it; more than one when both sides of a cut
-  /// got its SYN.
+  /// Targets that received any packet of it; more than one when its SYN reached
+  /// both sides of a network partition.
   std::vector<common::Endpoint> sent_to;
-  /// Targets that took payload of it.
-  std::set<common::TargetId> ran_at;
+  /// Targets that accepted payload of it.
+  std::set<common::TargetId> payload_targets;
   bool payload_sent{false};
   bool syn_forwarded{false};
   std::string last_path;
 };
 
-/// Sums over all flows.
+/// Numbers of flows by state.
 struct ModelCounts {
   std::size_t opened{0};
   std::size_t open{0};
@@ -62,28 +62,30 @@
   }
 };
 
-/// Drives flows through a fleet and checks every packet's fate.
+/// Drives flows through a fleet and checks the outcome of every packet.
 class Callers {
  public:
   explicit Callers(SmallFleet& fleet) : fleet(fleet) {}
 
-  /// Opens a flow to a service: a SYN, and payload as soon as it is answered.
+  /// Opens a flow to a service: sends a SYN and, when it is answered, payload.
   void Open(std::uint32_t service);
-  /// Sends a SYN only; the caller goes on at the next `Speak`.
-  void Knock(std::uint32_t service);
-  /// One open flow, picked by number, sends payload.
-  void Speak(std::uint64_t pick);
-  /// One open flow ends.
+  /// Sends only a SYN; the flow sends payload at a later `SendNext`.
+  void SendSynOnly(std::uint32_t service);
+  /// One live flow, selected by `pick`, sends payload, or its SYN again while
+  /// it is connecting.
+  void SendNext(std::uint64_t pick);
+  /// One live flow, selected by `pick`, ends if it is open.
   void Close(std::uint64_t pick);
-  /// Every open flow that was quiet for so long sends payload.
-  void SpeakIfQuiet(std::chrono::milliseconds quiet);
-  /// Every flow that waits sends again.
+  /// Every open flow that has been idle for that long sends payload.
+  void SendIfIdle(std::chrono::milliseconds idle);
+  /// Every flow without an answer retransmits.
   void Retry();
-  /// Every open flow sends payload, for some rounds until none waits.
+  /// Every open flow sends payload; then time passes with retransmissions until
+  /// those without an answer count as stalled.
   void SpeakAll();
 
   ModelCounts Counts() const;
-  /// What broke a promise, for a person; empty when nothing did.
+  /// Descriptions of violated guarantees; empty when there are none.
   const std::vector<std::string>& Faults() const { return this->faults; }
   /// Open flows by target.
   std::map<common::TargetId, std::size_t> OpenByTarget() const;
@@ -94,15 +96,16 @@
   void SendData(ModelFlow& flow);
   ModelFlow* Pick(std::uint64_t pick);
   void OnStalled(ModelFlow& flow);
-  void CheckForwarded(ModelFlow& flow, const Fate& fate);
-  void CheckReset(const ModelFlow& flow, const Fate& fate);
-  void Fail(const ModelFlow& flow, const Fate& fate, const std::string& what);
+  void CheckForwarded(ModelFlow& flow, const PacketOutcome& outcome);
+  void CheckReset(const ModelFlow& flow, const PacketOutcome& outcome);
+  void RecordFault(const ModelFlow& flow, const PacketOutcome& outcome,
+                   const std::string& what);
   bool IsPublished(const common::Endpoint& tunnel) const;
-  bool TargetReachable(const Fate& fate) const;
+  bool TargetReachable(const PacketOutcome& outcome) const;
 
   SmallFleet& fleet;
   std::vector<ModelFlow> flows;
-  std::vector<std::size_t> alive;
+  std::vector<std::size_t> live_flows;
   std::vector<std::string> faults;
   std::uint32_t next_caller{0};
 };
--- a/tests/core/model/local_table_balancer.h
+++ b/tests/core/model/local_table_balancer.h
@@ -1,4 +1,4 @@
-/// The naive balancer that the product is compared with.
+/// The baseline balancer that the production balancer is compared with.
 #pragma once
 
 #include <tsl/robin_map.h>
@@ -11,10 +11,10 @@
 
 namespace sassafrasdyke::core::testing {
 
-/// Each instance hashes a flow over the serving targets and remembers its
-/// choice in a table of its own. Nothing is redirected and nothing copied, so a
-/// flow whose packets reach an instance without its record after a change of
-/// targets goes elsewhere.
+/// Each instance hashes a flow over the serving targets and records the choice
+/// in a local table. It redirects no packets and replicates no records, so
+/// after a change of targets, a flow whose packets reach an instance without
+/// its record may go to another target.
 class LocalTableBalancer final : public Balancer {
  public:
   PacketAction OnPacket(const PacketArrived& packet,
--- a/tests/core/model/scenarios.cc
+++ b/tests/core/model/scenarios.cc
@@ -10,9 +10,9 @@
 using namespace std::chrono_literals;
 
 constexpr std::uint32_t kFirstTarget = kTargetsPerServiceLimit + 1;
-constexpr std::uint32_t kTargetsOfSecond = 4;
-constexpr std::chrono::milliseconds kBefore = 20s;
-constexpr std::chrono::milliseconds kAfter = 20s;
+constexpr std::uint32_t kTargetsOfSecondService = 4;
+constexpr std::chrono::milliseconds kWarmUp = 20s;
+constexpr std::chrono::milliseconds kSettleTime = 20s;
 
 std::function<void(Configuration&)> SetState(std::uint32_t target,
                                              TargetState state) {
@@ -34,70 +34,71 @@
 }
 
 void TargetChange(SmallFleet& fleet, Callers& callers, const Load& load) {
-  Traffic(fleet, callers, load, kBefore);
+  Traffic(fleet, callers, load, kWarmUp);
   fleet.Publish(SetState(kFirstTarget, TargetState::kDraining));
   Traffic(fleet, callers, load, 10s);
   fleet.Publish(AddTarget);
   Traffic(fleet, callers, load, 10s);
   fleet.Publish(SetState(kFirstTarget, TargetState::kServing));
-  Traffic(fleet, callers, load, kAfter);
+  Traffic(fleet, callers, load, kSettleTime);
 }
 
 void WeightChange(SmallFleet& fleet, Callers& callers, const Load& load) {
-  Traffic(fleet, callers, load, kBefore);
+  Traffic(fleet, callers, load, kWarmUp);
   fleet.Publish(
       [](Configuration& next) { TargetOf(next, kFirstTarget).weight = 20; });
   Traffic(fleet, callers, load, 10s);
   fleet.Publish(
       [](Configuration& next) { TargetOf(next, kFirstTarget).weight = 300; });
-  Traffic(fleet, callers, load, kAfter);
+  Traffic(fleet, callers, load, kSettleTime);
 }
 
 void InstanceReplacement(SmallFleet& fleet, Callers& callers,
                          const Load& load) {
-  Traffic(fleet, callers, load, kBefore);
+  Traffic(fleet, callers, load, kWarmUp);
   fleet.Leave({1});
   Traffic(fleet, callers, load, 1s);
   fleet.Join({1});
-  Traffic(fleet, callers, load, kAfter);
+  Traffic(fleet, callers, load, kSettleTime);
   fleet.Leave({2});
   Traffic(fleet, callers, load, 1s);
   fleet.Join({1});
-  Traffic(fleet, callers, load, kAfter);
+  Traffic(fleet, callers, load, kSettleTime);
 }
 
 void InstanceDeath(SmallFleet& fleet, Callers& callers, const Load& load) {
-  Traffic(fleet, callers, load, kBefore);
+  Traffic(fleet, callers, load, kWarmUp);
   fleet.Kill({1});
-  Traffic(fleet, callers, load, kAfter);
+  Traffic(fleet, callers, load, kSettleTime);
 }
 
 void RestartAtOneAddress(SmallFleet& fleet, Callers& callers,
                          const Load& load) {
-  Traffic(fleet, callers, load, kBefore);
+  Traffic(fleet, callers, load, kWarmUp);
   fleet.Replace({1});
-  Traffic(fleet, callers, load, kAfter);
+  Traffic(fleet, callers, load, kSettleTime);
 }
 
-void TargetAndInstance(SmallFleet& fleet, Callers& callers, const Load& load) {
-  Traffic(fleet, callers, load, kBefore);
+void TargetAndInstanceChange(SmallFleet& fleet, Callers& callers,
+                             const Load& load) {
+  Traffic(fleet, callers, load, kWarmUp);
   fleet.Publish(SetState(kFirstTarget, TargetState::kDraining));
   fleet.Leave({1});
   fleet.Join({1});
-  Traffic(fleet, callers, load, kAfter);
+  Traffic(fleet, callers, load, kSettleTime);
 }
 
 void DeathDuringTargetChange(SmallFleet& fleet, Callers& callers,
                              const Load& load) {
-  Traffic(fleet, callers, load, kBefore);
+  Traffic(fleet, callers, load, kWarmUp);
   fleet.Publish(SetState(kFirstTarget, TargetState::kDraining));
   Traffic(fleet, callers, load, 3s);
   fleet.Kill({1});
-  Traffic(fleet, callers, load, kAfter);
+  Traffic(fleet, callers, load, kSettleTime);
 }
 
 void ThreeOverlapping(SmallFleet& fleet, Callers& callers, const Load& load) {
-  Traffic(fleet, callers, load, kBefore);
+  Traffic(fleet, callers, load, kWarmUp);
   fleet.Publish(SetState(kFirstTarget, TargetState::kDraining));
   fleet.Leave({1});
   Traffic(fleet, callers, load, 500ms);
@@ -109,32 +110,32 @@
   Traffic(fleet, callers, load, 300ms);
   fleet.Publish(AddTarget);
   fleet.Join({1});
-  Traffic(fleet, callers, load, kAfter);
+  Traffic(fleet, callers, load, kSettleTime);
 }
 
 void PauseOfAnOwner(SmallFleet& fleet, Callers& callers, const Load& load) {
-  Traffic(fleet, callers, load, kBefore);
+  Traffic(fleet, callers, load, kWarmUp);
   fleet.Pause({1}, 6s);
   Traffic(fleet, callers, load, 6s);
-  Traffic(fleet, callers, load, kAfter);
+  Traffic(fleet, callers, load, kSettleTime);
 }
 
 void StaleConfiguration(SmallFleet& fleet, Callers& callers, const Load& load) {
-  Traffic(fleet, callers, load, kBefore);
+  Traffic(fleet, callers, load, kWarmUp);
   fleet.PublishToSome(SetState(kFirstTarget, TargetState::kDraining), 50);
   Traffic(fleet, callers, load, 10s);
   fleet.PublishToSome(SetState(kFirstTarget + 1, TargetState::kDraining), 50);
   Traffic(fleet, callers, load, 10s);
-  fleet.TellAll();
-  Traffic(fleet, callers, load, kAfter);
+  fleet.PublishToAll();
+  Traffic(fleet, callers, load, kSettleTime);
 }
 
 void CutOfADomain(SmallFleet& fleet, Callers& callers, const Load& load) {
-  Traffic(fleet, callers, load, kBefore);
+  Traffic(fleet, callers, load, kWarmUp);
   fleet.Cut({1});
   Traffic(fleet, callers, load, 15s);
   fleet.Heal({1});
-  Traffic(fleet, callers, load, kAfter);
+  Traffic(fleet, callers, load, kSettleTime);
 }
 
 }  // namespace
@@ -144,7 +145,7 @@
       {"planned target change", true, 1, TargetChange},
       {"planned weight change", true, 1, WeightChange},
       {"planned instance replacement", true, 1, InstanceReplacement},
-      {"target and instance at once", true, 1, TargetAndInstance},
+      {"target and instance at once", true, 1, TargetAndInstanceChange},
       {"three overlapping changes", true, 1, ThreeOverlapping},
       {"three overlapping, 3 domains", true, 3, ThreeOverlapping},
       {"stale configuration", true, 1, StaleConfiguration},
@@ -171,8 +172,8 @@
         callers.Close(fleet.Random(kAnyFlow));
       }
     }
-    for (std::uint32_t i = 0; i < load.spoken; ++i) {
-      callers.Speak(fleet.Random(kAnyFlow));
+    for (std::uint32_t i = 0; i < load.sent; ++i) {
+      callers.SendNext(fleet.Random(kAnyFlow));
     }
     if (fleet.Now().count() % 500 == 0) {
       callers.Retry();
@@ -188,7 +189,8 @@
                                             .partitions = 64});
   std::erase_if(plan.configuration.targets, [](const Target& target) {
     return target.service.value == 2 &&
-           target.id.value > 2 * kTargetsPerServiceLimit + kTargetsOfSecond;
+           target.id.value >
+               2 * kTargetsPerServiceLimit + kTargetsOfSecondService;
   });
   plan.instances = 8;
   plan.domains = domains;
--- a/tests/core/model/small_fleet.cc
+++ b/tests/core/model/small_fleet.cc
@@ -9,14 +9,14 @@
 namespace {
 
 constexpr std::chrono::milliseconds kTick{100};
-constexpr std::chrono::milliseconds kFreshWord{300};
-constexpr std::chrono::milliseconds kQuiet{2000};
+constexpr std::chrono::milliseconds kRecoveryDelay{300};
+constexpr std::chrono::milliseconds kLeaveQuietTime{2000};
 constexpr std::uint32_t kPercent = 100;
 constexpr std::size_t kCopyBytes = 50;
 constexpr std::size_t kAckBytes = 30;
 constexpr std::size_t kAddedBytes = 14;
 constexpr std::size_t kEndedBytes = 9;
-constexpr std::size_t kMostHops = 8;
+constexpr std::size_t kMaxHops = 8;
 
 bool Contains(const std::vector<common::DomainId>& domains,
               common::DomainId domain) {
@@ -42,8 +42,8 @@
     this->Start(id, {i % this->plan.domains + 1}, {1});
   }
   for (auto& [id, member] : this->members) {
-    this->TellConfigurationTo(id, kTick);
-    this->TellViewTo(id, kTick);
+    this->ScheduleConfigurationUpdate(id, kTick);
+    this->ScheduleViewUpdate(id, kTick);
   }
   this->Pass(2 * kTick);
 }
@@ -56,11 +56,11 @@
                        common::Incarnation incarnation) {
   FleetView sample = SampleView(id.value, id.value);
   Member member;
-  member.truth = InstanceOf(sample, id.value);
-  member.truth.domain = domain;
-  member.truth.incarnation = incarnation;
+  member.actual = InstanceOf(sample, id.value);
+  member.actual.domain = domain;
+  member.actual.incarnation = incarnation;
   member.balancer = this->plan.factory(id, incarnation);
-  this->ghosts.erase(id);
+  this->stopped.erase(id);
   this->members[id] = std::move(member);
 }
 
@@ -74,12 +74,14 @@
   return found == this->members.end() ? nullptr : &found->second;
 }
 
-bool SmallFleet::Runs(const Member& member) const { return !member.paused; }
+bool SmallFleet::IsRunning(const Member& member) const {
+  return !member.paused;
+}
 
 std::vector<common::InstanceId> SmallFleet::Running() const {
   std::vector<common::InstanceId> running;
   for (const auto& [id, member] : this->members) {
-    if (this->Runs(member)) {
+    if (this->IsRunning(member)) {
       running.push_back(id);
     }
   }
@@ -93,12 +95,12 @@
 }
 
 bool SmallFleet::IsCut(common::DomainId domain) const {
-  return Contains(this->cut, domain);
+  return Contains(this->separated, domain);
 }
 
 common::DomainId SmallFleet::DomainOf(common::InstanceId id) const {
   const Member* const member = this->Find(id);
-  return member == nullptr ? common::DomainId{} : member->truth.domain;
+  return member == nullptr ? common::DomainId{} : member->actual.domain;
 }
 
 BalancerStatus SmallFleet::StatusOf(common::InstanceId id) const {
@@ -106,30 +108,30 @@
   return member == nullptr ? BalancerStatus{} : member->balancer->Status();
 }
 
-bool SmallFleet::Reaches(common::DomainId from, common::DomainId to) const {
+bool SmallFleet::CanReach(common::DomainId from, common::DomainId to) const {
   return from == to || (!this->IsCut(from) && !this->IsCut(to));
 }
 
 FleetView SmallFleet::ViewFor(const Member& member) const {
   FleetView view;
-  view.self = member.truth.id;
-  view.domain = member.truth.domain;
+  view.self = member.actual.id;
+  view.domain = member.actual.domain;
   view.leaving = member.leaving;
   for (const auto& [id, other] : this->members) {
-    view.instances.push_back(other.truth);
+    view.instances.push_back(other.actual);
   }
-  for (const auto& [id, ghost] : this->ghosts) {
-    view.instances.push_back(ghost);
+  for (const auto& [id, instance_view] : this->stopped) {
+    view.instances.push_back(instance_view);
   }
   std::sort(
       view.instances.begin(), view.instances.end(),
       [](const InstanceView& a, const InstanceView& b) { return a.id < b.id; });
   for (std::uint32_t domain = 1; domain <= this->plan.domains; ++domain) {
     const common::DomainId other{domain};
-    const bool apart =
-        other != view.domain && (Contains(this->seen_cut, other) ||
-                                 Contains(this->seen_cut, view.domain));
-    if (apart) {
+    const bool unreachable =
+        other != view.domain && (Contains(this->known_separated, other) ||
+                                 Contains(this->known_separated, view.domain));
+    if (unreachable) {
       view.unreachable.push_back(other);
     }
   }
@@ -141,34 +143,35 @@
   return view;
 }
 
-std::chrono::milliseconds SmallFleet::NewsDelay() {
+std::chrono::milliseconds SmallFleet::RandomUpdateDelay() {
   return std::chrono::milliseconds{static_cast<std::int64_t>(this->Random(
-      static_cast<std::uint64_t>(this->plan.news.greatest.count()) + 1))};
+      static_cast<std::uint64_t>(this->plan.update_delays.max_delay.count()) +
+      1))};
 }
 
-void SmallFleet::TellViewTo(common::InstanceId id,
-                            std::chrono::milliseconds after) {
-  News next;
+void SmallFleet::ScheduleViewUpdate(common::InstanceId id,
+                                    std::chrono::milliseconds after) {
+  Update next;
   next.due = this->now + after;
   next.to = id;
-  next.version = ++this->versions;
+  next.version = ++this->last_version;
   next.view = std::make_shared<FleetView>(this->ViewFor(*this->Find(id)));
-  this->news.push_back(std::move(next));
+  this->updates.push_back(std::move(next));
 }
 
-void SmallFleet::TellView(std::chrono::milliseconds after) {
+void SmallFleet::ScheduleViewUpdates(std::chrono::milliseconds after) {
   for (const auto& [id, member] : this->members) {
-    this->TellViewTo(id, after + this->NewsDelay());
+    this->ScheduleViewUpdate(id, after + this->RandomUpdateDelay());
   }
 }
 
-void SmallFleet::TellConfigurationTo(common::InstanceId id,
-                                     std::chrono::milliseconds after) {
-  News next;
+void SmallFleet::ScheduleConfigurationUpdate(common::InstanceId id,
+                                             std::chrono::milliseconds after) {
+  Update next;
   next.due = this->now + after;
   next.to = id;
   next.configuration = Accept(this->published);
-  this->news.push_back(std::move(next));
+  this->updates.push_back(std::move(next));
 }
 
 void SmallFleet::Publish(const std::function<void(Configuration&)>& change) {
@@ -177,32 +180,32 @@
 
 void SmallFleet::PublishToSome(
     const std::function<void(Configuration&)>& change,
-    std::uint32_t told_percent) {
+    std::uint32_t reached_percent) {
   ++this->published.revision.value;
   change(this->published);
   for (const auto& [id, member] : this->members) {
-    if (this->Random(kPercent) < told_percent &&
-        !this->IsCut(member.truth.domain)) {
-      this->TellConfigurationTo(id, this->NewsDelay());
+    if (this->Random(kPercent) < reached_percent &&
+        !this->IsCut(member.actual.domain)) {
+      this->ScheduleConfigurationUpdate(id, this->RandomUpdateDelay());
     }
   }
 }
 
-void SmallFleet::TellAll() {
+void SmallFleet::PublishToAll() {
   for (const auto& [id, member] : this->members) {
-    if (!this->IsCut(member.truth.domain)) {
-      this->TellConfigurationTo(id, this->NewsDelay());
+    if (!this->IsCut(member.actual.domain)) {
+      this->ScheduleConfigurationUpdate(id, this->RandomUpdateDelay());
     }
   }
 }
 
 void SmallFleet::Report(common::TargetId target, TargetHealth health) {
-  const TargetHealthChange change{target, health, ++this->versions, {}};
+  const TargetHealthChange change{target, health, ++this->last_version, {}};
   for (auto& [id, member] : this->members) {
-    if (this->Runs(member)) {
+    if (this->IsRunning(member)) {
       Outbox outbox;
       member.balancer->OnPeerMessage(id, change, this->now, outbox);
-      this->Collect(id, outbox);
+      this->ProcessOutbox(id, outbox);
     }
   }
 }
@@ -210,9 +213,9 @@
 common::InstanceId SmallFleet::Join(common::DomainId domain) {
   const common::InstanceId id{this->next_id++};
   this->Start(id, domain, {1});
-  this->TellConfigurationTo(id, kTick);
-  this->TellViewTo(id, kTick);
-  this->TellView(kTick);
+  this->ScheduleConfigurationUpdate(id, kTick);
+  this->ScheduleViewUpdate(id, kTick);
+  this->ScheduleViewUpdates(kTick);
   return id;
 }
 
@@ -223,9 +226,9 @@
   }
   member->leaving = true;
   member->leaving_since = this->now;
-  member->truth.use = InstanceUse::kLeaving;
-  this->TellView(kTick);
-  this->TellViewTo(id, kTick);
+  member->actual.use = InstanceUse::kLeaving;
+  this->ScheduleViewUpdates(kTick);
+  this->ScheduleViewUpdate(id, kTick);
 }
 
 void SmallFleet::Kill(common::InstanceId id) {
@@ -233,15 +236,17 @@
   if (member == nullptr) {
     return;
   }
-  InstanceView ghost = member->truth;
+  InstanceView instance_view = member->actual;
   this->members.erase(id);
-  this->ghosts[id] = ghost;
-  this->later.emplace_back(this->now + this->plan.news.suspicion, [this, id] {
-    if (const auto found = this->ghosts.find(id); found != this->ghosts.end()) {
-      found->second.use = InstanceUse::kSuspected;
-      this->TellView({});
-    }
-  });
+  this->stopped[id] = instance_view;
+  this->scheduled.emplace_back(this->now + this->plan.update_delays.suspicion,
+                               [this, id] {
+                                 if (const auto found = this->stopped.find(id);
+                                     found != this->stopped.end()) {
+                                   found->second.use = InstanceUse::kSuspected;
+                                   this->ScheduleViewUpdates({});
+                                 }
+                               });
 }
 
 void SmallFleet::Replace(common::InstanceId id) {
@@ -249,12 +254,12 @@
   if (member == nullptr) {
     return;
   }
-  const common::DomainId domain = member->truth.domain;
+  const common::DomainId domain = member->actual.domain;
   this->members.erase(id);
   this->Start(id, domain, {++this->incarnations});
-  this->TellConfigurationTo(id, kTick);
-  this->TellViewTo(id, kTick);
-  this->TellView(kTick);
+  this->ScheduleConfigurationUpdate(id, kTick);
+  this->ScheduleViewUpdate(id, kTick);
+  this->ScheduleViewUpdates(kTick);
 }
 
 void SmallFleet::Pause(common::InstanceId id, std::chrono::milliseconds time) {
@@ -264,52 +269,54 @@
   }
   member->paused = true;
   member->paused_until = this->now + time;
-  if (time <= this->plan.news.suspicion) {
+  if (time <= this->plan.update_delays.suspicion) {
     return;
   }
-  this->later.emplace_back(this->now + this->plan.news.suspicion, [this, id] {
-    if (Member* const sleeper = this->Find(id);
-        sleeper != nullptr && sleeper->paused && !sleeper->leaving) {
-      sleeper->truth.use = InstanceUse::kSuspected;
-      this->TellView({});
-    }
-  });
+  this->scheduled.emplace_back(
+      this->now + this->plan.update_delays.suspicion, [this, id] {
+        if (Member* const sleeper = this->Find(id);
+            sleeper != nullptr && sleeper->paused && !sleeper->leaving) {
+          sleeper->actual.use = InstanceUse::kSuspected;
+          this->ScheduleViewUpdates({});
+        }
+      });
 }
 
-void SmallFleet::Wake(Member& member) {
+void SmallFleet::Resume(Member& member) {
   member.paused = false;
-  // What it believes is old; it knows, because its clock has jumped.
+  // Its view is outdated; it detects this by the jump of its clock.
   FleetView stale = member.view;
   stale.lease = Lease::kStale;
   member.view = stale;
   Outbox outbox;
   member.balancer->OnFleetView(stale, this->now, outbox);
-  this->Collect(member.truth.id, outbox);
-  const bool was_suspected = member.truth.use == InstanceUse::kSuspected;
+  this->ProcessOutbox(member.actual.id, outbox);
+  const bool was_suspected = member.actual.use == InstanceUse::kSuspected;
   if (was_suspected) {
-    member.truth.use = InstanceUse::kOwner;
-    this->TellView(kFreshWord);
+    member.actual.use = InstanceUse::kOwner;
+    this->ScheduleViewUpdates(kRecoveryDelay);
   }
-  this->TellViewTo(member.truth.id, kFreshWord);
+  this->ScheduleViewUpdate(member.actual.id, kRecoveryDelay);
 }
 
 void SmallFleet::Cut(common::DomainId domain) {
   if (this->IsCut(domain)) {
     return;
   }
-  this->cut.push_back(domain);
-  this->later.emplace_back(this->now + this->plan.news.suspicion, [this] {
-    this->seen_cut = this->cut;
-    this->TellView({});
-  });
+  this->separated.push_back(domain);
+  this->scheduled.emplace_back(this->now + this->plan.update_delays.suspicion,
+                               [this] {
+                                 this->known_separated = this->separated;
+                                 this->ScheduleViewUpdates({});
+                               });
 }
 
 void SmallFleet::Heal(common::DomainId domain) {
-  std::erase(this->cut, domain);
-  this->later.emplace_back(this->now + kFreshWord, [this] {
-    this->seen_cut = this->cut;
-    this->TellView({});
-    this->TellAll();
+  std::erase(this->separated, domain);
+  this->scheduled.emplace_back(this->now + kRecoveryDelay, [this] {
+    this->known_separated = this->separated;
+    this->ScheduleViewUpdates({});
+    this->PublishToAll();
   });
 }
 
@@ -317,108 +324,112 @@
   const std::chrono::milliseconds end = this->now + time;
   while (this->now < end) {
     this->now += kTick;
-    for (std::size_t i = 0; i < this->later.size();) {
-      if (this->later[i].first > this->now) {
+    for (std::size_t i = 0; i < this->scheduled.size();) {
+      if (this->scheduled[i].first > this->now) {
         ++i;
         continue;
       }
-      const auto action = this->later[i].second;
-      this->later.erase(this->later.begin() + static_cast<std::ptrdiff_t>(i));
+      const auto action = this->scheduled[i].second;
+      this->scheduled.erase(this->scheduled.begin() +
+                            static_cast<std::ptrdiff_t>(i));
       action();
     }
     for (auto& [id, member] : this->members) {
       if (member.paused && this->now >= member.paused_until) {
-        this->Wake(member);
+        this->Resume(member);
       }
     }
     this->Deliver();
     for (auto& [id, member] : this->members) {
-      if (this->Runs(member)) {
+      if (this->IsRunning(member)) {
         Outbox outbox;
         member.balancer->OnTick(this->now, outbox);
-        this->Collect(id, outbox);
+        this->ProcessOutbox(id, outbox);
       }
     }
-    this->StopLeavers();
+    this->StopLeavingInstances();
   }
 }
 
-void SmallFleet::Apply(const News& news) {
-  Member* const member = this->Find(news.to);
+void SmallFleet::Apply(const Update& update) {
+  Member* const member = this->Find(update.to);
   if (member == nullptr) {
     return;
   }
   Outbox outbox;
-  if (news.configuration != nullptr &&
-      news.configuration->revision > member->revision) {
-    member->revision = news.configuration->revision;
+  if (update.configuration != nullptr &&
+      update.configuration->revision > member->revision) {
+    member->revision = update.configuration->revision;
     member->in_force_since = this->now;
-    member->balancer->OnConfiguration(news.configuration, this->now, outbox);
+    member->balancer->OnConfiguration(update.configuration, this->now, outbox);
   }
-  if (news.view != nullptr && news.version > member->view_version) {
-    member->view_version = news.version;
-    member->view = *news.view;
-    member->balancer->OnFleetView(*news.view, this->now, outbox);
+  if (update.view != nullptr && update.version > member->view_version) {
+    member->view_version = update.version;
+    member->view = *update.view;
+    member->balancer->OnFleetView(*update.view, this->now, outbox);
   }
-  this->Collect(news.to, outbox);
+  this->ProcessOutbox(update.to, outbox);
 }
 
 void SmallFleet::Deliver() {
-  std::vector<News> waiting;
-  std::vector<News> due;
-  for (News& next : this->news) {
+  std::vector<Update> waiting;
+  std::vector<Update> due;
+  for (Update& next : this->updates) {
     const Member* const member = this->Find(next.to);
-    const bool held =
-        next.due > this->now || (member != nullptr && !this->Runs(*member));
+    const bool held = next.due > this->now ||
+                      (member != nullptr && !this->IsRunning(*member));
     (held ? waiting : due).push_back(std::move(next));
   }
-  this->news = std::move(waiting);
-  std::stable_sort(due.begin(), due.end(),
-                   [](const News& a, const News& b) { return a.due < b.due; });
-  for (const News& next : due) {
+  this->updates = std::move(waiting);
+  std::stable_sort(
+      due.begin(), due.end(),
+      [](const Update& a, const Update& b) { return a.due < b.due; });
+  for (const Update& next : due) {
     this->Apply(next);
   }
-  std::vector<Flight> later_flights;
-  std::vector<Flight> arrived;
-  for (Flight& flight : this->flights) {
-    const Member* const member = this->Find(flight.to);
-    const bool held =
-        flight.due > this->now || (member != nullptr && !this->Runs(*member));
-    (held ? later_flights : arrived).push_back(std::move(flight));
-  }
-  this->flights = std::move(later_flights);
-  std::stable_sort(
-      arrived.begin(), arrived.end(),
-      [](const Flight& a, const Flight& b) { return a.due < b.due; });
-  for (const Flight& flight : arrived) {
-    Member* const member = this->Find(flight.to);
-    const common::DomainId from = this->DomainOf(flight.from);
-    if (member == nullptr || !this->Reaches(from, member->truth.domain)) {
+  std::vector<MessageInFlight> still_in_flight;
+  std::vector<MessageInFlight> arrived;
+  for (MessageInFlight& message_in_flight : this->in_flight) {
+    const Member* const member = this->Find(message_in_flight.to);
+    const bool held = message_in_flight.due > this->now ||
+                      (member != nullptr && !this->IsRunning(*member));
+    (held ? still_in_flight : arrived).push_back(std::move(message_in_flight));
+  }
+  this->in_flight = std::move(still_in_flight);
+  std::stable_sort(arrived.begin(), arrived.end(),
+                   [](const MessageInFlight& a, const MessageInFlight& b) {
+                     return a.due < b.due;
+                   });
+  for (const MessageInFlight& message_in_flight : arrived) {
+    Member* const member = this->Find(message_in_flight.to);
+    const common::DomainId from = this->DomainOf(message_in_flight.from);
+    if (member == nullptr || !this->CanReach(from, member->actual.domain)) {
       continue;
     }
     Outbox outbox;
-    member->balancer->OnPeerMessage(flight.from, flight.message, this->now,
-                                    outbox);
-    this->Collect(flight.to, outbox);
+    member->balancer->OnPeerMessage(
+        message_in_flight.from, message_in_flight.message, this->now, outbox);
+    this->ProcessOutbox(message_in_flight.to, outbox);
   }
 }
 
-void SmallFleet::StopLeavers() {
+void SmallFleet::StopLeavingInstances() {
   std::vector<common::InstanceId> done;
   for (const auto& [id, member] : this->members) {
-    if (member.leaving && this->Runs(member) &&
-        this->now - member.leaving_since >= kQuiet + this->plan.news.greatest &&
+    if (member.leaving && this->IsRunning(member) &&
+        this->now - member.leaving_since >=
+            kLeaveQuietTime + this->plan.update_delays.max_delay &&
         member.balancer->Status().handed_over) {
       done.push_back(id);
     }
   }
   for (const common::InstanceId id : done) {
     this->members.erase(id);
-    this->TellView({});
+    this->ScheduleViewUpdates({});
   }
 }
 
-void SmallFleet::Collect(common::InstanceId from, Outbox& outbox) {
+void SmallFleet::ProcessOutbox(common::InstanceId from, Outbox& outbox) {
   for (const Decision& decision : outbox.decisions) {
     this->log.push_back({this->now, from, decision});
   }
@@ -432,7 +443,7 @@
     ++this->control_messages;
     const MessageFaults& faults = this->plan.faults;
     const auto spread = static_cast<std::uint64_t>(
-        (faults.greatest_delay - faults.least_delay).count() + 1);
+        (faults.max_delay - faults.min_delay).count() + 1);
     const std::size_t times =
         this->Random(kPercent) < faults.repeated_percent ? 2 : 1;
     for (std::size_t i = 0; i < times; ++i) {
@@ -440,56 +451,57 @@
         continue;
       }
       const std::chrono::milliseconds delay =
-          faults.least_delay +
+          faults.min_delay +
           std::chrono::milliseconds{static_cast<int>(this->Random(spread))};
-      this->flights.push_back({this->now + delay, from, next.to, next.message});
+      this->in_flight.push_back(
+          {this->now + delay, from, next.to, next.message});
     }
   }
   outbox.messages.clear();
   outbox.decisions.clear();
 }
 
-Fate SmallFleet::Send(common::InstanceId entry, PacketArrived packet) {
-  Fate fate;
+PacketOutcome SmallFleet::Send(common::InstanceId entry, PacketArrived packet) {
+  PacketOutcome outcome;
   common::InstanceId at = entry;
-  for (std::size_t hop = 0; hop < kMostHops; ++hop) {
+  for (std::size_t hop = 0; hop < kMaxHops; ++hop) {
     Member* const member = this->Find(at);
-    if (member == nullptr || !this->Runs(*member)) {
-      return fate;
+    if (member == nullptr || !this->IsRunning(*member)) {
+      return outcome;
     }
-    fate.path.push_back(at);
-    fate.decided_by = at;
-    fate.revision = member->revision;
-    fate.in_force_since = member->in_force_since;
+    outcome.path.push_back(at);
+    outcome.decided_by = at;
+    outcome.revision = member->revision;
+    outcome.in_force_since = member->in_force_since;
     Outbox outbox;
     const PacketAction action =
         member->balancer->OnPacket(packet, this->now, outbox);
-    this->Collect(at, outbox);
+    this->ProcessOutbox(at, outbox);
     if (const auto* const forward = std::get_if<ForwardToTarget>(&action)) {
-      fate.kind = Fate::Kind::kForwarded;
-      fate.target = forward->target;
-      fate.tunnel = forward->tunnel;
-      return fate;
+      outcome.kind = PacketOutcome::Kind::kForwarded;
+      outcome.target = forward->target;
+      outcome.tunnel = forward->tunnel;
+      return outcome;
     }
     if (const auto* const reset = std::get_if<ResetCaller>(&action)) {
-      fate.kind = Fate::Kind::kReset;
-      fate.reset = reset->reason;
-      return fate;
+      outcome.kind = PacketOutcome::Kind::kReset;
+      outcome.reset = reset->reason;
+      return outcome;
     }
     if (const auto* const drop = std::get_if<DropPacket>(&action)) {
-      fate.kind = Fate::Kind::kDropped;
-      fate.drop = drop->reason;
-      return fate;
+      outcome.kind = PacketOutcome::Kind::kDropped;
+      outcome.drop = drop->reason;
+      return outcome;
     }
     const auto& redirect = std::get<RedirectToInstance>(action);
-    if (!this->Reaches(member->truth.domain,
-                       this->DomainOf(redirect.instance))) {
-      return fate;
+    if (!this->CanReach(member->actual.domain,
+                        this->DomainOf(redirect.instance))) {
+      return outcome;
     }
     packet = Handed(packet, redirect);
     at = redirect.instance;
   }
-  return fate;
+  return outcome;
 }
 
 }  // namespace sassafrasdyke::core::testing
--- a/tests/core/model/small_fleet.h
+++ b/tests/core/model/small_fleet.h
@@ -1,5 +1,5 @@
-/// A few balancers joined by a list of messages in flight. Everything happens
-/// in one thread and under one seed, so that each run repeats exactly.
+/// A simulated fleet: balancers that exchange messages through an in-memory
+/// network. Single-threaded and seeded, so that every run is reproducible.
 #pragma once
 
 #include <chrono>
@@ -15,90 +15,95 @@
 
 namespace sassafrasdyke::core::testing {
 
-/// What happens to control messages on their way.
+/// Delay, loss and duplication of control messages.
 struct MessageFaults {
-  std::chrono::milliseconds least_delay{1};
-  std::chrono::milliseconds greatest_delay{50};
+  std::chrono::milliseconds min_delay{1};
+  std::chrono::milliseconds max_delay{50};
   std::uint32_t lost_percent{0};
   std::uint32_t repeated_percent{0};
 };
 
-/// How news reaches the instances: each hears of it at a time of its own.
-struct NewsDelays {
-  std::chrono::milliseconds greatest{1000};
-  /// Silence before others call an instance or a domain silent.
+/// Delays until the instances learn of changes. Each instance gets a
+/// configuration or view after a random delay of its own.
+struct UpdateDelays {
+  std::chrono::milliseconds max_delay{1000};
+  /// Time without contact until an instance or a domain is suspected.
   std::chrono::milliseconds suspicion{2000};
 };
 
 using BalancerFactory = std::function<std::unique_ptr<Balancer>(
     common::InstanceId, common::Incarnation)>;
 
-/// What the fleet is made of.
+/// The parameters of a simulated fleet.
 struct SmallFleetPlan {
   Configuration configuration;
   std::uint32_t instances{4};
   std::uint32_t domains{1};
   MessageFaults faults;
-  NewsDelays news;
+  UpdateDelays update_delays;
   BalancerFactory factory{MakeBalancer};
-  /// Loses every exception copy, to see what copies are good for.
+  /// Drops every exception copy and acknowledgement, to measure the effect of
+  /// copies.
   bool without_copies{false};
   std::uint64_t seed{1};
 };
 
-/// Where a packet ended.
-struct Fate {
+/// What became of a packet.
+struct PacketOutcome {
   enum class Kind { kForwarded, kReset, kDropped, kLost };
   Kind kind{Kind::kLost};
   common::TargetId target;        ///< When forwarded.
   common::Endpoint tunnel;        ///< When forwarded.
   ResetReason reset{};            ///< When reset.
   DropReason drop{};              ///< When dropped.
-  common::InstanceId decided_by;  ///< Whoever had the last word.
+  common::InstanceId decided_by;  ///< The last instance on its path.
   common::Revision revision;      ///< In force there.
   std::chrono::milliseconds in_force_since{0};
   std::vector<common::InstanceId> path;
 };
 
-/// A decision with when and by whom it was made.
+/// A decision with its time and the instance that made it.
 struct LoggedDecision {
   std::chrono::milliseconds at{0};
   common::InstanceId by;
   Decision decision;
 };
 
-/// The fleet, and the platform's and the network's part in what happens to it.
+/// IsRunning the instances and simulates the platform and the network.
 class SmallFleet {
  public:
   explicit SmallFleet(SmallFleetPlan plan);
 
-  /// Passes time in steps of a tick.
+  /// Advances the time tick by tick.
   void Pass(std::chrono::milliseconds time);
 
-  /// Hands a packet to an instance and follows it to its end.
-  Fate Send(common::InstanceId entry, PacketArrived packet);
+  /// Delivers a packet to an instance and follows its redirects to the end.
+  PacketOutcome Send(common::InstanceId entry, PacketArrived packet);
 
-  /// A running instance, each with the same chance; 0 when none runs.
+  /// A running instance, chosen uniformly at random; 0 when none runs.
   common::InstanceId AnyRunning();
 
   void Publish(const std::function<void(Configuration&)>& change);
-  /// Publishes, and tells only some instances until `TellAll`.
+  /// Publishes to a random part of the instances; the others lag until
+  /// `PublishToAll`.
   void PublishToSome(const std::function<void(Configuration&)>& change,
-                     std::uint32_t told_percent);
-  void TellAll();
+                     std::uint32_t reached_percent);
+  void PublishToAll();
 
-  /// A prober's word on a target, true or not, to every instance.
+  /// Delivers a prober's report on a target, true or not, to all instances.
   void Report(common::TargetId target, TargetHealth health);
 
   common::InstanceId Join(common::DomainId domain);
-  /// Asks an instance to stop; it does once it has handed everything over.
+  /// Asks an instance to leave; it stops after its hand-over.
   void Leave(common::InstanceId id);
-  /// Ends an instance at once; its peers suspect it later.
+  /// Stops an instance without a hand-over; its peers suspect it later.
   void Kill(common::InstanceId id);
-  /// Ends an instance and starts another under the same id.
+  /// Stops an instance without a hand-over and starts a new incarnation under
+  /// the same id.
   void Replace(common::InstanceId id);
   void Pause(common::InstanceId id, std::chrono::milliseconds time);
-  /// Cuts a domain off from the others and from the platform, or ends the cut.
+  /// Separates a domain from the others and from the platform, or reconnects
+  /// it.
   void Cut(common::DomainId domain);
   void Heal(common::DomainId domain);
 
@@ -117,7 +122,7 @@
 
  private:
   struct Member {
-    InstanceView truth;
+    InstanceView actual;
     std::unique_ptr<Balancer> balancer;
     std::chrono::milliseconds paused_until{0};
     bool paused{false};
@@ -128,13 +133,13 @@
     std::chrono::milliseconds in_force_since{0};
     FleetView view;
   };
-  struct Flight {
+  struct MessageInFlight {
     std::chrono::milliseconds due{0};
     common::InstanceId from;
     common::InstanceId to;
     PeerMessage message;
   };
-  struct News {
+  struct Update {
     std::chrono::milliseconds due{0};
     common::InstanceId to;
     std::uint64_t version{0};
@@ -144,45 +149,46 @@
 
   Member* Find(common::InstanceId id);
   const Member* Find(common::InstanceId id) const;
-  bool Runs(const Member& member) const;
-  bool Reaches(common::DomainId from, common::DomainId to) const;
+  bool IsRunning(const Member& member) const;
+  bool CanReach(common::DomainId from, common::DomainId to) const;
   FleetView ViewFor(const Member& member) const;
   void Start(common::InstanceId id, common::DomainId domain,
              common::Incarnation incarnation);
-  void TellView(std::chrono::milliseconds after);
-  void TellViewTo(common::InstanceId id, std::chrono::milliseconds after);
-  void TellConfigurationTo(common::InstanceId id,
-                           std::chrono::milliseconds after);
-  void Apply(const News& news);
+  void ScheduleViewUpdates(std::chrono::milliseconds after);
+  void ScheduleViewUpdate(common::InstanceId id,
+                          std::chrono::milliseconds after);
+  void ScheduleConfigurationUpdate(common::InstanceId id,
+                                   std::chrono::milliseconds after);
+  void Apply(const Update& update);
   void Deliver();
-  void Wake(Member& member);
-  void StopLeavers();
-  void Collect(common::InstanceId from, Outbox& outbox);
-  std::chrono::milliseconds NewsDelay();
+  void Resume(Member& member);
+  void StopLeavingInstances();
+  void ProcessOutbox(common::InstanceId from, Outbox& outbox);
+  std::chrono::milliseconds RandomUpdateDelay();
 
   SmallFleetPlan plan;
   std::mt19937_64 generator;
   std::chrono::milliseconds now{1000};
   Configuration published;
   std::map<common::InstanceId, Member> members;
-  /// Instances that are gone, as the others still see them.
-  std::map<common::InstanceId, InstanceView> ghosts;
-  std::vector<common::DomainId> cut;
-  std::vector<common::DomainId> seen_cut;
+  /// Instances that have stopped, as the others still see them.
+  std::map<common::InstanceId, InstanceView> stopped;
+  std::vector<common::DomainId> separated;
+  std::vector<common::DomainId> known_separated;
   std::vector<std::pair<std::chrono::milliseconds, std::function<void()>>>
-      later;
-  std::vector<Flight> flights;
-  std::vector<News> news;
+      scheduled;
+  std::vector<MessageInFlight> in_flight;
+  std::vector<Update> updates;
   std::vector<LoggedDecision> log;
-  std::uint64_t versions{0};
+  std::uint64_t last_version{0};
   std::uint64_t incarnations{1};
   std::uint32_t next_id{1};
   std::size_t control_bytes{0};
   std::size_t control_messages{0};
 };
 
-/// The bytes that a copy or an acknowledgement takes on the wire, as the
-/// sender's budget reckons.
+/// The encoded size in bytes of a copy or an acknowledgement, as the sender's
+/// budget counts it.
 std::size_t EncodedBytes(const PeerMessage& message);
 
 }  // namespace sassafrasdyke::core::testing
