--- a/source/core/fleet/member_reports.cc
+++ b/source/core/fleet/member_reports.cc
@@ -53,7 +53,7 @@
 }
 
 /// Counts the listed instances in the domain of `about`, other than `about`,
-/// that nobody suspects.
+/// that no instance suspects.
 std::size_t CountUnsuspectedPeers(
     const InstanceList& list, const Instance& about,
     const std::map<common::InstanceId, SuspectingInstances>& active) {
--- a/source/core/fleet_view.h
+++ b/source/core/fleet_view.h
@@ -29,7 +29,7 @@
 enum class Lease {
   kHeld,    ///< In contact with peers or the platform.
   kStale,   ///< Expired while others may be alive: place no new flows.
-  kCutOff,  ///< Nobody is left to contact: serve from the last known state.
+  kCutOff,  ///< No contact is left: serve from the last known state.
 };
 
 /// A snapshot of the whole view, replaced as one value. `instances` is sorted
--- a/source/core/packet.h
+++ b/source/core/packet.h
@@ -61,10 +61,13 @@
 
 /// Why a flow was sent to its target; the decision log's `reason`.
 enum class PlacementReason : std::uint8_t {
-  kDefault,        ///< The first usable target of the partition.
-  kLessLoaded,     ///< The default was busier by the service's threshold.
-  kRamp,           ///< The default is in slow start.
-  kEjected,        ///< The default is ejected or reported unhealthy.
+  kDefault,     ///< The first usable target of the partition.
+  kLessLoaded,  ///< The default was busier by the service's threshold.
+  kRamp,        ///< The default is in slow start.
+  /// The default is ejected, reported unhealthy or unusable, or the placement
+  /// is a last resort. `Place` also returns it for a default in a home domain
+  /// without owners, but the balancer then reports `kAdopted`.
+  kEjected,
   kDraining,       ///< The default is draining.
   kSpill,          ///< No local target could serve.
   kRecord,         ///< The flow has a record here.
--- a/source/core/placement/subset_map.cc
+++ b/source/core/placement/subset_map.cc
@@ -10,7 +10,8 @@
 namespace sassafrasdyke::core {
 namespace {
 
-/// Different salts make the choice of a domain, of a target and of an instance
+/// `kDomainSalt`, `kTargetSalt` and `kInstanceSalt` (in owner_map.cc) differ,
+/// so that the choices of a domain, of a target and of an instance are
 /// independent of each other.
 constexpr std::uint64_t kDomainSalt = 0x646F6D61696EULL;
 constexpr std::uint64_t kTargetSalt = 0x746172676574ULL;
--- a/source/core/placement/target_set.h
+++ b/source/core/placement/target_set.h
@@ -22,7 +22,8 @@
 struct TargetRecord {
   Target target;
   /// Removed from the configuration in force, or its id now names another
-  /// target. Remaining flows are reset.
+  /// target. Established flows there are reset, except those known only from a
+  /// copy.
   bool gone{false};
   /// Open flows of this instance at the target.
   std::uint32_t open{0};
--- a/source/core/roster/peer_digest.h
+++ b/source/core/roster/peer_digest.h
@@ -20,7 +20,7 @@
 struct PeerMention {
   common::Endpoint peer;
   std::string domain;
-  std::chrono::milliseconds heard_ago{0};  ///< Since its last sign of life.
+  std::chrono::milliseconds heard_ago{0};  ///< Since it was last heard from.
 };
 
 /// The revision and age of a view.
--- a/source/core/roster/peer_sync.cc
+++ b/source/core/roster/peer_sync.cc
@@ -235,7 +235,7 @@
     Append(actions, this->QueryReaders(now));
   }
   // A new member gets a digest at once: it may be unknown to all instances, and
-  // queries nobody else.
+  // queries no other.
   if (digest.wants_answer) {
     Append(actions,
            this->MakeDigests(
--- a/source/core/steering/flow_steering.cc
+++ b/source/core/steering/flow_steering.cc
@@ -12,9 +12,9 @@
 /// longest interval between two responses of the store to a pending watch.
 constexpr std::chrono::milliseconds kMaxFreshAge{2000};
 /// A view that was confirmed at least this long after a word was first seen,
-/// and still lacks it, shows that the target has ended: whoever placed the flow
-/// knew the target before that, and this covers the propagation delay of stores
-/// and peers.
+/// and still lacks it, shows that the target has ended: the instance that
+/// placed the flow knew the target before that, and this covers the propagation
+/// delay of stores and peers.
 constexpr std::chrono::milliseconds kPropagationTime{500};
 /// A target without an entry that answered a client within this time is alive
 /// and only cut off from the store; one whose entry was removed within this
--- a/source/core/steering/target_watch.h
+++ b/source/core/steering/target_watch.h
@@ -2,7 +2,7 @@
 /// which leave SYNs unanswered, and which no longer answer at all (silent).
 ///
 /// A crashed target stays published until its entry lapses, two to four seconds
-/// later. Until then its clients' requests would wait in vain, past their
+/// later. Until then its clients' requests would remain unanswered past their
 /// deadlines. Unanswered packets raise a suspicion; if probe connections fail
 /// as well, it is confirmed, and the clients are sent resets so that they
 /// reconnect. A slow target still accepts connections, so it never counts as
--- a/source/core/view/target_table.h
+++ b/source/core/view/target_table.h
@@ -29,7 +29,7 @@
   kDraining,    ///< Keeps its flows but accepts no new ones.
   kUnreadable,  ///< Its entry can't be read any more; keeps its flows.
   kShadowed,    ///< Another target has the same word; keeps its flows.
-  kGone,        ///< Has certainly ended: nobody answers its flows.
+  kGone,        ///< Has certainly ended: its flows get no answers.
 };
 
 /// The name of a phase in the log.
--- a/tests/core/fleet/membership_test.cc
+++ b/tests/core/fleet/membership_test.cc
@@ -204,8 +204,8 @@
 }
 
 // A network partition separates a failure domain from the others. It must keep
-// working: leases stay held, nobody is suspected, and the other domains are
-// known to be unreachable.
+// working: leases stay held, no instance is suspected, and the other domains
+// are known to be unreachable.
 BOOST_AUTO_TEST_CASE(a_partitioned_domain_keeps_working) {
   FleetNetwork network(kSeed);
   network.StartAll(SampleInstances(12, 3), kTargets);
--- a/tests/core/flow_balancer_test.cc
+++ b/tests/core/flow_balancer_test.cc
@@ -463,8 +463,8 @@
   }
 }
 
-// Guards against flows that nobody else finds: the process was paused, its
-// lease has expired, and another instance may have taken over.
+// Guards against flows that no other instance finds: the process was paused,
+// its lease has expired, and another instance may have taken over.
 BOOST_AUTO_TEST_CASE(a_stale_instance_serves_records_and_places_nothing) {
   SingleInstance instance;
   const common::TargetId target = instance.Open(FlowOf(1));
--- a/tests/core/model/callers.h
+++ b/tests/core/model/callers.h
@@ -22,7 +22,7 @@
   kMisrouted,  ///< Its payload reached a target that doesn't have the flow.
   kReset,      ///< The balancer reset it.
   kStalled,    ///< No answer until the caller gave up.
-  kRefused,    ///< Its SYN was reset.
+  kRefused,    ///< Its SYN was reset: the caller was told that nothing has run.
 };
 
 /// One flow with the state of its caller and its target.
--- a/tests/core/model/small_fleet.h
+++ b/tests/core/model/small_fleet.h
@@ -69,7 +69,7 @@
   Decision decision;
 };
 
-/// IsRunning the instances and simulates the platform and the network.
+/// Runs the instances and simulates the platform and the network.
 class SmallFleet {
  public:
   explicit SmallFleet(SmallFleetPlan plan);
--- a/tests/core/steering/pending_requests_test.cc
+++ b/tests/core/steering/pending_requests_test.cc
@@ -73,7 +73,7 @@
   BOOST_TEST(pending.UnansweredAt(kTarget) == 0U);
 }
 
-// Answers take 5 ms, and a request whose short answer nobody acknowledges is
+// Answers take 5 ms, and a request whose short answer is not acknowledged is
 // served as soon. It counts for 30 ms, not for 150.
 BOOST_AUTO_TEST_CASE(quick_targets_are_counted_briefly) {
   PendingRequests pending;
